--- a/crates/beechcroft-pace/src/yard.rs
+++ b/crates/beechcroft-balancer/src/yard.rs
@@ -3,7 +3,7 @@
 //! first among the units of this relay's region, then further off where near ones are full.
 
 use crate::Cold;
-use beechcroft_saddle::{key_of, rank, Near, HOLD};
+use beechcroft_hotkeys::{key_of, rank, Near, HOLD};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
--- a/crates/beechcroft-pace/tests/places.rs
+++ b/crates/beechcroft-balancer/tests/places.rs
@@ -1,6 +1,6 @@
 //! Requests that keep to places, where no unit can be ranked.
 
-use beechcroft_pace::yard::{Keyed, Place, Side, Want, Why, Yard};
+use beechcroft_balancer::yard::{Keyed, Place, Side, Want, Why, Yard};
 
 fn cold_yard(rate: f64) -> Yard {
     let mut yard = Yard::new("west", "w1", 7);
--- a/crates/beechcroft-map/src/config.rs
+++ b/crates/beechcroft-config/src/config.rs
@@ -1,6 +1,6 @@
 //! A configuration, as the operator sends it, and the checks it has to pass.
 
-use beechcroft_kinds::{Fault, Kind};
+use beechcroft_error::{Fault, Kind};
 use garde::Validate;
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::HashSet;
--- a/crates/beechcroft-hutbook/examples/model.rs
+++ b/crates/beechcroft-consensus/examples/model.rs
@@ -1,7 +1,7 @@
 //! Explores the models of `tests/model` on for as long as is said, each kind of beginning in its turn: once breadth first,
 //! then by random walks, each time with other seeds.
 //!
-//!     cargo run --release -p beechcroft-hutbook --example model -- --minutes 10 --threads 4 --seed 1
+//!     cargo run --release -p beechcroft-consensus --example model -- --minutes 10 --threads 4 --seed 1
 //!
 //! Ends with an error and the way to it, once a promise is found broken.
 
--- a/crates/beechcroft-hutbook/src/bytes.rs
+++ b/crates/beechcroft-consensus/src/bytes.rs
@@ -1,6 +1,6 @@
 //! Values as bytes, on disk and in registers: the version of the format, and then postcard.
 
-use beechcroft_railing::{stands, Guard};
+use beechcroft_safeguards::{stands, Guard};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt;
--- a/crates/beechcroft-hutbook/src/proposer.rs
+++ b/crates/beechcroft-consensus/src/proposer.rs
@@ -2,8 +2,8 @@
 
 use crate::voter::{Ask, Epochs, Reply};
 use crate::{Ballot, ConfigStore, Op, Orders, Value, VoterEpoch, CONFIG, ORDERS};
-use beechcroft_kinds::{Fault, Kind};
-use beechcroft_railing::{stands, Guard};
+use beechcroft_error::{Fault, Kind};
+use beechcroft_safeguards::{stands, Guard};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/beechcroft-hutbook/src/state.rs
+++ b/crates/beechcroft-consensus/src/state.rs
@@ -1,9 +1,9 @@
 //! What the registers hold, and the orders that change it.
 
 use crate::{bytes, Value};
-use beechcroft_kinds::{Fault, Kind};
-use beechcroft_map::Config;
-use beechcroft_railing::{stands, Guard};
+use beechcroft_config::Config;
+use beechcroft_error::{Fault, Kind};
+use beechcroft_safeguards::{stands, Guard};
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
 use flate2::Compression;
--- a/crates/beechcroft-hutbook/src/voter.rs
+++ b/crates/beechcroft-consensus/src/voter.rs
@@ -1,7 +1,7 @@
 //! A voter of the core: what it has promised and accepted, and how it comes back from a lost disk.
 
 use crate::{bytes, Ballot, Value, VoterEpoch};
-use beechcroft_railing::{stands, Guard};
+use beechcroft_safeguards::{stands, Guard};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/beechcroft-hutbook/tests/agreement.rs
+++ b/crates/beechcroft-consensus/tests/agreement.rs
@@ -3,9 +3,9 @@
 
 mod core;
 
-use beechcroft_hutbook::proposer::Event;
-use beechcroft_hutbook::{Ask, Ballot, ConfigStore, Reply, Value, Voter, CONFIG};
-use beechcroft_kinds::Kind;
+use beechcroft_consensus::proposer::Event;
+use beechcroft_consensus::{Ask, Ballot, ConfigStore, Reply, Value, Voter, CONFIG};
+use beechcroft_error::Kind;
 use core::{name, Core, Fault, Message, Table, FAULTS};
 use std::collections::BTreeMap;
 
--- a/crates/beechcroft-hutbook/tests/core/mod.rs
+++ b/crates/beechcroft-consensus/tests/core/mod.rs
@@ -2,10 +2,10 @@
 //! a numbered point, and a fault may be injected at any. No clock but the test's own, no socket, no disk.
 #![allow(dead_code)] // each test file uses a part
 
-use beechcroft_hutbook::proposer::{Action, Event, OrderId};
-use beechcroft_hutbook::voter::learn;
-use beechcroft_hutbook::{Ask, Ballot, ConfigStore, Epochs, Op, Proposer, Reply, Value, Voter, CONFIG};
-use beechcroft_kinds::Kind;
+use beechcroft_consensus::proposer::{Action, Event, OrderId};
+use beechcroft_consensus::voter::learn;
+use beechcroft_consensus::{Ask, Ballot, ConfigStore, Epochs, Op, Proposer, Reply, Value, Voter, CONFIG};
+use beechcroft_error::Kind;
 use std::collections::{BTreeMap, VecDeque};
 
 pub type Table = BTreeMap<String, Vec<u8>>;
--- a/crates/beechcroft-hutbook/tests/epochs.rs
+++ b/crates/beechcroft-consensus/tests/epochs.rs
@@ -1,9 +1,9 @@
 //! Each guard of memberships, alone: with it the promise holds, without it a value that a majority accepted is gone, or a
 //! membership has two holders. Voters only, in the order of messages that breaks it.
 
-use beechcroft_hutbook::proposer::{Action, Event};
-use beechcroft_hutbook::{Ask, Ballot, Op, Proposer, Reply, Value, Voter, VoterEpoch, CONFIG};
-use beechcroft_railing::{without, Guard};
+use beechcroft_consensus::proposer::{Action, Event};
+use beechcroft_consensus::{Ask, Ballot, Op, Proposer, Reply, Value, Voter, VoterEpoch, CONFIG};
+use beechcroft_safeguards::{without, Guard};
 use std::collections::BTreeMap;
 
 type Table = BTreeMap<String, Vec<u8>>;
--- a/crates/beechcroft-hutbook/tests/model/placing.rs
+++ b/crates/beechcroft-consensus/tests/model/placing.rs
@@ -3,8 +3,8 @@
 //! while; any of them may be cut off, which is to hear nothing for as long as it likes.
 
 use crate::explore::Told;
-use beechcroft_belvedere::lease::{may_place, Moves, FENCE_MS, HOLD_MS};
-use beechcroft_railing::{without, Guard};
+use beechcroft_outlier::lease::{may_place, Moves, FENCE_MS, HOLD_MS};
+use beechcroft_safeguards::{without, Guard};
 use stateright::{Model, Property};
 use std::collections::BTreeSet;
 
--- a/crates/beechcroft-hutbook/tests/model/state.rs
+++ b/crates/beechcroft-consensus/tests/model/state.rs
@@ -1,10 +1,10 @@
 //! What the model of the agreement is made of: machines with their disks, messages under way, and what has happened so
 //! far that later answers are held against.
 
-use beechcroft_hutbook::proposer::OrderId;
-use beechcroft_hutbook::voter::Epochs;
-use beechcroft_hutbook::{Answer, Ask, Ballot, ConfigStore, Op, Proposer, Reply, Value, Voter};
-use beechcroft_kinds::Kind;
+use beechcroft_consensus::proposer::OrderId;
+use beechcroft_consensus::voter::Epochs;
+use beechcroft_consensus::{Answer, Ask, Ballot, ConfigStore, Op, Proposer, Reply, Value, Voter};
+use beechcroft_error::Kind;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{Debug, Write};
--- a/crates/beechcroft-hutbook/tests/model/voting.rs
+++ b/crates/beechcroft-consensus/tests/model/voting.rs
@@ -3,9 +3,9 @@
 
 use crate::explore::Told;
 use crate::state::{name, Breach, Disk, History, Kept, Machine, Packet, State, Troubles};
-use beechcroft_hutbook::proposer::Event;
-use beechcroft_hutbook::{Ask, Op, Proposer, Reply, Voter};
-use beechcroft_railing::{without, Guard};
+use beechcroft_consensus::proposer::Event;
+use beechcroft_consensus::{Ask, Op, Proposer, Reply, Voter};
+use beechcroft_safeguards::{without, Guard};
 use stateright::{Model, Property};
 
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/beechcroft-hutbook/tests/orders.rs
+++ b/crates/beechcroft-consensus/tests/orders.rs
@@ -1,11 +1,11 @@
 //! Orders that race, come again, come late, or whose callers have gone: what a round makes of them. Each guard is taken out
 //! once, and the promise is then found broken.
 
-use beechcroft_hutbook::proposer::{Action, Event, OrderId};
-use beechcroft_hutbook::{Ask, Ballot, ConfigStore, Op, Orders, Proposer, Reply, Stage, Value, Voter};
-use beechcroft_hutbook::{CONFIG, ORDERS};
-use beechcroft_kinds::{Fault, Kind};
-use beechcroft_railing::{without, Guard};
+use beechcroft_consensus::proposer::{Action, Event, OrderId};
+use beechcroft_consensus::{Ask, Ballot, ConfigStore, Op, Orders, Proposer, Reply, Stage, Value, Voter};
+use beechcroft_consensus::{CONFIG, ORDERS};
+use beechcroft_error::{Fault, Kind};
+use beechcroft_safeguards::{without, Guard};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/beechcroft-hutbook/tests/versions.rs
+++ b/crates/beechcroft-consensus/tests/versions.rs
@@ -1,9 +1,9 @@
 //! Values that this version of the program did not write, or that came back different: an error that says so, and never
 //! an empty value or another one.
 
-use beechcroft_hutbook::bytes::{decode, encode, Unreadable, VERSION};
-use beechcroft_hutbook::{Ask, Ballot, Identity, Reply, Value, Voter};
-use beechcroft_railing::{without, Guard};
+use beechcroft_consensus::bytes::{decode, encode, Unreadable, VERSION};
+use beechcroft_consensus::{Ask, Ballot, Identity, Reply, Value, Voter};
+use beechcroft_safeguards::{without, Guard};
 use std::collections::BTreeMap;
 
 type Table = BTreeMap<String, Vec<u8>>;
--- a/crates/beechcroft-hut/src/desks.rs
+++ b/crates/beechcroft-control/src/desks.rs
@@ -1,14 +1,14 @@
 //! What a core machine answers: to units and the operator, to clients that ask where to go, to other relays.
 
 use crate::keeper::{Command, Queue, ORDER_MS};
-use beechcroft_hutbook::{ConfigStore, Op, Orders, CONFIG, ORDERS};
-use beechcroft_kinds::{Fault, Kind};
-use beechcroft_map::Config;
-use beechcroft_pass::calls::{self, Call as Known};
-use beechcroft_pass::desk::{Answer, Call};
-use beechcroft_pass::Ground;
-use beechcroft_railing::{stands, Guard};
-use beechcroft_waymarks::{Note, State};
+use beechcroft_config::Config;
+use beechcroft_consensus::{ConfigStore, Op, Orders, CONFIG, ORDERS};
+use beechcroft_error::{Fault, Kind};
+use beechcroft_registry::{Note, State};
+use beechcroft_safeguards::{stands, Guard};
+use beechcroft_transport::calls::{self, Call as Known};
+use beechcroft_transport::desk::{Answer, Call};
+use beechcroft_transport::Ground;
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -139,9 +139,9 @@
             let held = orders.rollouts.get(&service);
             let held = held.ok_or_else(|| Fault::new(Kind::NoThing, format!("no rollout of {service}")))?;
             let state = match held.stage {
-                beechcroft_hutbook::Stage::Active(_) => "active",
-                beechcroft_hutbook::Stage::Complete => "complete",
-                beechcroft_hutbook::Stage::Reverted => "reverted",
+                beechcroft_consensus::Stage::Active(_) => "active",
+                beechcroft_consensus::Stage::Complete => "complete",
+                beechcroft_consensus::Stage::Reverted => "reverted",
             };
             let body = serde_json::json!({ "state": state, "targetVersion": held.target });
             Ok(Answer::json(body.to_string()))
@@ -156,7 +156,7 @@
 
 fn ask(
     register: usize, op: Op, read: Instant,
-) -> impl FnOnce(oneshot::Sender<beechcroft_hutbook::proposer::Answer>) -> Command {
+) -> impl FnOnce(oneshot::Sender<beechcroft_consensus::proposer::Answer>) -> Command {
     move |answer| Command::Order { register, op, read, answer }
 }
 
--- a/crates/beechcroft-hut/src/disk.rs
+++ b/crates/beechcroft-control/src/disk.rs
@@ -1,7 +1,7 @@
 //! The thread that owns the disk: it writes what waits together, with one sync, and says when it lasts.
 
-use beechcroft_cache::{Cache, Table};
-use beechcroft_railing::{stands, Guard};
+use beechcroft_safeguards::{stands, Guard};
+use beechcroft_storage::{Cache, Table};
 use std::future::Future;
 use std::io;
 use std::path::{Path, PathBuf};
--- a/crates/beechcroft-hut/src/keeper.rs
+++ b/crates/beechcroft-control/src/keeper.rs
@@ -8,22 +8,22 @@
 
 use crate::disk::Disk;
 use crate::keeper::contact::Reads;
-use beechcroft_belvedere::{short, Bench, Verdict};
-use beechcroft_cache::Table;
-use beechcroft_cairns::{Action as News, Cairns, Letter, Member, Quorum, Standing};
-use beechcroft_hutbook::proposer::{Action as Step, Answer, Event, OrderId};
-use beechcroft_hutbook::{
+use beechcroft_config::config::{Service, Unfit};
+use beechcroft_config::usual::Usual;
+use beechcroft_config::{Config, Settings};
+use beechcroft_consensus::proposer::{Action as Step, Answer, Event, OrderId};
+use beechcroft_consensus::{
     bytes, Ask, Ballot, ConfigStore, Op, Orders, Proposer, Reply, Stage, Value, Voter, CONFIG, ORDERS,
 };
-use beechcroft_kinds::{Fault, Kind};
-use beechcroft_map::config::{Service, Unfit};
-use beechcroft_map::usual::Usual;
-use beechcroft_map::{Config, Settings};
-use beechcroft_pass::errand::Errands;
-use beechcroft_pass::post::Post;
-use beechcroft_railing::{stands, Guard};
-use beechcroft_ropes::conduct::{conduct, Next, View};
-use beechcroft_waymarks::{News as UnitNews, Note, State};
+use beechcroft_error::{Fault, Kind};
+use beechcroft_gossip::{Action as News, Cairns, Letter, Member, Quorum, Standing};
+use beechcroft_outlier::{short, Bench, Verdict};
+use beechcroft_registry::{News as UnitNews, Note, State};
+use beechcroft_rollout::conduct::{conduct, Next, View};
+use beechcroft_safeguards::{stands, Guard};
+use beechcroft_storage::Table;
+use beechcroft_transport::errand::Errands;
+use beechcroft_transport::post::Post;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -88,7 +88,7 @@
     /// Another core machine was told of epochs.
     Known {
         from: String,
-        told: beechcroft_hutbook::Epochs,
+        told: beechcroft_consensus::Epochs,
         reply: Reply,
     },
     VotesAgain,
--- a/crates/beechcroft-hut/src/keeper/contact.rs
+++ b/crates/beechcroft-control/src/keeper/contact.rs
@@ -5,8 +5,8 @@
 //! it is refused at once, so that its sender goes to another hut and does not wait.
 
 use super::*;
-use beechcroft_kinds::Kind;
-use beechcroft_railing::{stands, Guard};
+use beechcroft_error::Kind;
+use beechcroft_safeguards::{stands, Guard};
 
 const LOOK_EVERY_MS: u64 = 100;
 /// Until a drain that no majority has confirmed is refused: its unit asks another hut after a second.
@@ -37,7 +37,7 @@
         }
         self.quorum_at = now + LOOK_EVERY_MS;
         let me = &self.cairns.me.name;
-        let holder = |epochs: &beechcroft_hutbook::Epochs, voter_id: &String| {
+        let holder = |epochs: &beechcroft_consensus::Epochs, voter_id: &String| {
             epochs.get(voter_id).map_or_else(|| voter_id.clone(), |(_, holder)| holder.clone())
         };
         let (machines, all, votes): (BTreeSet<String>, usize, bool) =
--- a/crates/beechcroft-hut/src/keeper/quorum.rs
+++ b/crates/beechcroft-control/src/keeper/quorum.rs
@@ -1,8 +1,8 @@
 //! Who votes: the first voters, a lost disk, a membership whose machine is gone.
 
 use super::*;
-use beechcroft_hutbook::voter::learn;
-use beechcroft_hutbook::{Epochs, VoterEpoch};
+use beechcroft_consensus::voter::learn;
+use beechcroft_consensus::{Epochs, VoterEpoch};
 
 /// What a core machine knows of memberships beside its voter.
 #[derive(Default)]
--- a/crates/beechcroft-hut/src/keeper/rollouts.rs
+++ b/crates/beechcroft-control/src/keeper/rollouts.rs
@@ -1,9 +1,9 @@
 //! What the core decides by evidence: versions in use, placements, how a rollout goes on, its way back.
 
 use super::*;
-use beechcroft_hutbook::Rollout;
-use beechcroft_ropes::conduct::{excess_of_few, Before};
-use beechcroft_ropes::Count;
+use beechcroft_consensus::Rollout;
+use beechcroft_rollout::conduct::{excess_of_few, Before};
+use beechcroft_rollout::Count;
 
 /// A sign that is younger tells no rate.
 const LEAST_RATE_MS: u32 = 500;
--- a/crates/beechcroft-hut/src/main.rs
+++ b/crates/beechcroft-control/src/main.rs
@@ -1,12 +1,12 @@
 //! hut: the program of the core machines. It keeps the control state and says where clients go.
 
-use beechcroft_hut::disk::Disk;
-use beechcroft_hut::run::run;
-use beechcroft_hutbook::Voter;
-use beechcroft_map::usual::Usual;
-use beechcroft_map::Settings;
-use beechcroft_pass::errand::Errands;
-use beechcroft_pass::lifecycle::{self, Outside};
+use beechcroft_config::usual::Usual;
+use beechcroft_config::Settings;
+use beechcroft_consensus::Voter;
+use beechcroft_control::disk::Disk;
+use beechcroft_control::run::run;
+use beechcroft_transport::errand::Errands;
+use beechcroft_transport::lifecycle::{self, Outside};
 use std::net::SocketAddrV4;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -81,12 +81,12 @@
     }
     let folder = std::path::Path::new(what);
     std::fs::read_dir(folder).map_err(|e| format!("{what}: {e}"))?;
-    let (table, damage) = beechcroft_cache::Cache::peek(folder);
+    let (table, damage) = beechcroft_storage::Cache::peek(folder);
     damage.places().iter().for_each(|place| println!("damage: {place}"));
     let voter = Voter::new("", 0, 0, &table);
     voter.unreadable.iter().for_each(|said| println!("unreadable: {said}"));
     println!("identity {:?}", voter.identity);
-    for register in [beechcroft_hutbook::CONFIG, beechcroft_hutbook::ORDERS] {
+    for register in [beechcroft_consensus::CONFIG, beechcroft_consensus::ORDERS] {
         let held = voter.register(register);
         println!("register {register} promised {:?}", held.promised);
         if let Some((ballot, value)) = &held.accepted {
--- a/crates/beechcroft-hut/tests/compatibility/messages.rs
+++ b/crates/beechcroft-control/tests/compatibility/messages.rs
@@ -2,7 +2,7 @@
 
 use crate::fixture::same;
 use crate::values::{asks, items, letter, note, replies};
-use beechcroft_hutbook::Value;
+use beechcroft_consensus::Value;
 
 fn sent<T: serde::Serialize>(value: &T) -> Vec<u8> {
     postcard::to_stdvec(value).expect("plain data")
--- a/crates/beechcroft-hut/tests/compatibility/records.rs
+++ b/crates/beechcroft-control/tests/compatibility/records.rs
@@ -2,10 +2,10 @@
 
 use crate::fixture::same;
 use crate::values::{ballot, config_store, epochs, identity, member, note, operations, orders, register};
-use beechcroft_cache::Cache;
-use beechcroft_cairns::{Member, Standing};
-use beechcroft_hutbook::{bytes, Ask, ConfigStore, Orders, Value, Voter, CONFIG};
-use beechcroft_waymarks::Note;
+use beechcroft_consensus::{bytes, Ask, ConfigStore, Orders, Value, Voter, CONFIG};
+use beechcroft_gossip::{Member, Standing};
+use beechcroft_registry::Note;
+use beechcroft_storage::Cache;
 use std::collections::BTreeMap;
 
 /// As records are written.
--- a/crates/beechcroft-hut/tests/compatibility/values.rs
+++ b/crates/beechcroft-control/tests/compatibility/values.rs
@@ -1,12 +1,12 @@
 //! The values that the fixtures hold: every variant and every field, none at its default.
 
-use beechcroft_belvedere::{Count as UnitCount, Word as Seen};
-use beechcroft_cairns::letter::{Crowded, Sign};
-use beechcroft_cairns::{Beat, Item, Letter, Member, Ranges, Standing, Sums, Who};
-use beechcroft_hutbook::voter::Register;
-use beechcroft_hutbook::{Ask, Ballot, ConfigStore, Epochs, Identity, Op, Orders, Reply, Stage, Value};
-use beechcroft_saddle::Word as Keys;
-use beechcroft_waymarks::{Note, State};
+use beechcroft_consensus::voter::Register;
+use beechcroft_consensus::{Ask, Ballot, ConfigStore, Epochs, Identity, Op, Orders, Reply, Stage, Value};
+use beechcroft_gossip::letter::{Crowded, Sign};
+use beechcroft_gossip::{Beat, Item, Letter, Member, Ranges, Standing, Sums, Who};
+use beechcroft_hotkeys::Word as Keys;
+use beechcroft_outlier::{Count as UnitCount, Word as Seen};
+use beechcroft_registry::{Note, State};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
--- a/crates/beechcroft-standins/tests/store.rs
+++ b/crates/beechcroft-fakes/tests/store.rs
@@ -1,7 +1,7 @@
 //! The stand-in store does what is published of the commands used, and goes wrong as it is told.
 
+use beechcroft_fakes::store::{Script, Store};
 use beechcroft_resp::{command, Bounds, Reader, Value, Version};
-use beechcroft_standins::store::{Script, Store};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
--- a/crates/beechcroft-cairns/src/contact.rs
+++ b/crates/beechcroft-gossip/src/contact.rs
@@ -4,7 +4,7 @@
 //! which that ping was *sent*: what lay in a socket while this process was frozen, or came by the one way that was left, is no
 //! evidence of now. A letter that answers nothing shows one way only and does not count.
 
-use beechcroft_railing::{stands, Guard};
+use beechcroft_safeguards::{stands, Guard};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Between the pings to a machine that answers.
--- a/crates/beechcroft-cairns/src/letter.rs
+++ b/crates/beechcroft-gossip/src/letter.rs
@@ -1,7 +1,7 @@
 //! What relays tell each other in datagrams.
 
-use beechcroft_belvedere::Word;
-use beechcroft_waymarks::{Note, RANGES};
+use beechcroft_outlier::Word;
+use beechcroft_registry::{Note, RANGES};
 use rapidhash::v3::rapidhash_v3;
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -113,7 +113,7 @@
     pub incarnation: u64,
     pub count: u32,
     pub service: String,
-    pub word: beechcroft_saddle::Word,
+    pub word: beechcroft_hotkeys::Word,
 }
 
 impl Item {
--- a/crates/beechcroft-cairns/src/lib.rs
+++ b/crates/beechcroft-gossip/src/lib.rs
@@ -11,9 +11,9 @@
 pub use contact::{Contact, Quorum};
 pub use letter::{Beat, Item, Letter, Member, Ranges, Standing, Sums, Who};
 
-use beechcroft_belvedere::Word;
-use beechcroft_railing::{stands, Guard};
-use beechcroft_waymarks::{News, Note, State, Waymarks};
+use beechcroft_outlier::Word;
+use beechcroft_registry::{News, Note, State, Waymarks};
+use beechcroft_safeguards::{stands, Guard};
 use letter::MEMBER_RANGES;
 use rand::seq::IteratorRandom;
 use rand::{RngExt, SeedableRng};
@@ -22,7 +22,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
-/// The register whose rounds show that the core agrees (`beechcroft-hutbook` numbers them).
+/// The register whose rounds show that the core agrees (`beechcroft-consensus` numbers them).
 const ORDERS: usize = 1;
 /// Relays of its own region that watch one, and of all others.
 const WATCHERS: [usize; 2] = [2, 1];
--- a/crates/beechcroft-cairns/tests/contact.rs
+++ b/crates/beechcroft-gossip/tests/contact.rs
@@ -1,8 +1,8 @@
 //! Contact of huts with a majority: what a cut, silent or one way, a freeze, a restart and lost letters make of it.
 
-use beechcroft_cairns::contact::CONTACT_MS;
-use beechcroft_cairns::{Action, Cairns, Letter, Member, Quorum, Standing};
-use beechcroft_railing::{without, Guard};
+use beechcroft_gossip::contact::CONTACT_MS;
+use beechcroft_gossip::{Action, Cairns, Letter, Member, Quorum, Standing};
+use beechcroft_safeguards::{without, Guard};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/crates/beechcroft-cairns/tests/touches.rs
+++ b/crates/beechcroft-gossip/tests/touches.rs
@@ -1,7 +1,7 @@
 //! The sign that the core agrees, which relays pass on with its age.
 
-use beechcroft_cairns::{Action, Cairns, Letter, Member, Standing};
-use beechcroft_railing::{without, Guard};
+use beechcroft_gossip::{Action, Cairns, Letter, Member, Standing};
+use beechcroft_safeguards::{without, Guard};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 const PORT: u16 = 7540;
--- a/crates/beechcroft-lab/src/crowd.rs
+++ b/crates/beechcroft-lab/src/crowd.rs
@@ -1,6 +1,6 @@
 //! `crowd`: a busy night in the project's own world, with and without places for keys, and the claims held to it.
 
-use beechcroft_range::crowd::{play, Mode, Night, Seen, Trouble, FRESH_MS, TROUBLES, USUAL};
+use beechcroft_simulator::crowd::{play, Mode, Night, Seen, Trouble, FRESH_MS, TROUBLES, USUAL};
 use clap::Args;
 use rayon::prelude::*;
 
@@ -129,7 +129,7 @@
             series.push((format!("{relays} relays, {:.0}%", share * 100.0), points));
         }
         let before = crate::ALLOCATED.stats();
-        let mut crowd = beechcroft_saddle::Crowd::default();
+        let mut crowd = beechcroft_hotkeys::Crowd::default();
         for n in 0..10_000_000u64 {
             crowd.saw(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
             if n.is_multiple_of(1000) {
--- a/crates/beechcroft-lab/src/open.rs
+++ b/crates/beechcroft-lab/src/open.rs
@@ -1,9 +1,9 @@
 //! `load`: requests at a steady rate against a running edge machine on loopback, each timed from when it was planned,
 //! so that an answer that holds up others counts against it.
 
-use beechcroft_pass::line::Line;
-use beechcroft_pass::Ground;
-use beechcroft_range::whole::actors::read_answer;
+use beechcroft_simulator::whole::actors::read_answer;
+use beechcroft_transport::line::Line;
+use beechcroft_transport::Ground;
 use clap::Args;
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
--- a/crates/beechcroft-lab/src/orders.rs
+++ b/crates/beechcroft-lab/src/orders.rs
@@ -1,7 +1,7 @@
 //! `orders`: how long an operator waits for an answer, in the world, with both programs as they run.
 
-use beechcroft_range::whole::scenario::What;
-use beechcroft_range::whole::{by_hand, Hand, Scenario};
+use beechcroft_simulator::whole::scenario::What;
+use beechcroft_simulator::whole::{by_hand, Hand, Scenario};
 use clap::Args;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/beechcroft-lab/src/plan.rs
+++ b/crates/beechcroft-lab/src/plan.rs
@@ -1,9 +1,9 @@
 //! `plan`: from a scenario's services, traffic and losses, how full units are, what more is needed, which loss breaks
 //! it first. `--check`: its answer against what the world plays over drawn sites.
 
-use beechcroft_range::whole::day::SERVICES;
-use beechcroft_range::whole::scenario::{Event, What};
-use beechcroft_range::whole::{play, Scenario};
+use beechcroft_simulator::whole::day::SERVICES;
+use beechcroft_simulator::whole::scenario::{Event, What};
+use beechcroft_simulator::whole::{play, Scenario};
 use clap::Args;
 use rand::{RngExt, SeedableRng};
 use rayon::prelude::*;
--- a/crates/beechcroft-lab/src/sight.rs
+++ b/crates/beechcroft-lab/src/sight.rs
@@ -1,7 +1,7 @@
 //! `sight`: verdicts on units from what relays of all regions see, against each relay by itself and against beats.
 
-use beechcroft_map::config::{Config, Unfit};
-use beechcroft_range::sight::{long_watch, moving_place, watch, Ill, Long, Report, Watch, ILLS};
+use beechcroft_config::config::{Config, Unfit};
+use beechcroft_simulator::sight::{long_watch, moving_place, watch, Ill, Long, Report, Watch, ILLS};
 use clap::Args;
 use rayon::prelude::*;
 
--- a/crates/beechcroft-lab/src/size.rs
+++ b/crates/beechcroft-lab/src/size.rs
@@ -1,7 +1,7 @@
 //! `size`: what each machine spends by the number of edge machines, and how long a change takes to the last of them.
 
-use beechcroft_range::whole::scenario::{Event, What};
-use beechcroft_range::whole::{play, Scenario};
+use beechcroft_simulator::whole::scenario::{Event, What};
+use beechcroft_simulator::whole::{play, Scenario};
 use clap::Args;
 use rayon::prelude::*;
 use std::path::PathBuf;
@@ -61,7 +61,7 @@
             let reports: Vec<_> =
                 (1..=seeds).into_par_iter().map(|seed| play(&scenario(edges, seed))).collect();
             let wall_s = began.elapsed().as_secs_f64();
-            let mean = |of: &dyn Fn(&beechcroft_range::whole::Report) -> f64| {
+            let mean = |of: &dyn Fn(&beechcroft_simulator::whole::Report) -> f64| {
                 reports.iter().map(of).sum::<f64>() / reports.len() as f64
             };
             let mut took: Vec<u64> = reports.iter().flat_map(|report| report.spread_ms.clone()).collect();
--- a/crates/beechcroft-lab/src/studies.rs
+++ b/crates/beechcroft-lab/src/studies.rs
@@ -2,7 +2,7 @@
 //! kept of a run: tables and charts.
 
 use crate::whole::{head, line, timed};
-use beechcroft_range::whole::{play, Report, Scenario};
+use beechcroft_simulator::whole::{play, Report, Scenario};
 use clap::Args;
 use rand::{RngExt, SeedableRng};
 use rayon::prelude::*;
--- a/crates/beechcroft-lab/src/whole.rs
+++ b/crates/beechcroft-lab/src/whole.rs
@@ -1,7 +1,7 @@
 //! `run`, `sweep`, `compare`, `search`, `shrink`, `report`: days of the whole system in the project's own world.
 
-use beechcroft_range::whole::draw::draw;
-use beechcroft_range::whole::{play, Report, Scenario};
+use beechcroft_simulator::whole::draw::draw;
+use beechcroft_simulator::whole::{play, Report, Scenario};
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
--- a/crates/beechcroft-belvedere/src/lease.rs
+++ b/crates/beechcroft-outlier/src/lease.rs
@@ -3,7 +3,7 @@
 //! has been moved is used only `FENCE_MS` after its move was learned, which is longer. So by the time anybody uses the
 //! new place, whoever might still hold the old one has stopped. Clocks are each relay's own steady ones.
 
-use beechcroft_railing::{stands, Guard};
+use beechcroft_safeguards::{stands, Guard};
 use std::collections::{BTreeSet, VecDeque};
 
 /// A relay goes on with the placement that it holds for so long after the core last showed that it agrees.
--- a/crates/beechcroft-belvedere/src/lib.rs
+++ b/crates/beechcroft-outlier/src/lib.rs
@@ -5,7 +5,7 @@
 pub mod lease;
 
 use beechcroft::cusum::{Cusum, NATS_FLOOR};
-use beechcroft_map::config::Unfit;
+use beechcroft_config::config::Unfit;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/beechcroft-belvedere/tests/verdicts.rs
+++ b/crates/beechcroft-outlier/tests/verdicts.rs
@@ -1,7 +1,7 @@
 //! The hard cases, each as relays of three regions see it, period by period.
 
-use beechcroft_belvedere::{Bench, Count, Own, Verdict, Word};
-use beechcroft_map::config::{Config, Unfit};
+use beechcroft_config::config::{Config, Unfit};
+use beechcroft_outlier::{Bench, Count, Own, Verdict, Word};
 
 const UNITS: u32 = 20;
 const REGIONS: [&str; 3] = ["north", "south", "east"];
--- a/crates/beechcroft-trail/examples/small_system.rs
+++ b/crates/beechcroft-proxy/examples/small_system.rs
@@ -1,7 +1,7 @@
 //! A small system on loopback: three huts, one trail, four stand-in units, and a configuration. Ends after ten
 //! minutes, or with Ctrl-C. Needs the two programs beside it: `cargo build --release` puts them there.
 //!
-//!     cargo run --release -p beechcroft-trail --example small_system
+//!     cargo run --release -p beechcroft-proxy --example small_system
 //!     curl -i -H 'Host: boards.example' -H 'Beechcroft-Attempt-Id: 1' http://127.0.0.1:8548/board/today
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -123,11 +123,13 @@
     for number in 1..=3 {
         let ip = format!("127.0.0.{number}");
         let listen = format!("control = \"{ip}:8544\"\ndirectory = \"{ip}:8546\"");
-        children
-            .push(start("beechcroft-hut", &settings(&folder, &format!("hut-{number}"), &ip, &listen, true)));
+        children.push(start(
+            "beechcroft-control",
+            &settings(&folder, &format!("hut-{number}"), &ip, &listen, true),
+        ));
     }
     let listen = "ingress = \"127.0.0.1:8548\"\nreadiness = \"127.0.0.1:8542\"";
-    children.push(start("beechcroft-trail", &settings(&folder, "trail-1", "127.0.0.1", listen, false)));
+    children.push(start("beechcroft-proxy", &settings(&folder, "trail-1", "127.0.0.1", listen, false)));
     (1..=4).for_each(unit);
     let end = Instant::now() + Duration::from_secs(600);
     let wait = |what: &str, done: &dyn Fn() -> bool| {
--- a/crates/beechcroft-trail/src/carry.rs
+++ b/crates/beechcroft-proxy/src/carry.rs
@@ -4,18 +4,18 @@
 use crate::guide::{Command, Queue};
 use crate::offer::{self, Answer, Offer};
 use crate::shared::Shared;
-use beechcroft_belvedere::lease::{self, Bar};
-use beechcroft_crossing::{Crossing, End, Next};
-use beechcroft_hutbook::Stage;
-use beechcroft_junction::{Table, Way};
-use beechcroft_kinds::Kind;
-use beechcroft_map::config::RouteType;
-use beechcroft_pace::{Choice, Keyed, Share, Side, Want, Why};
-use beechcroft_pass::guard::Ask;
-use beechcroft_pass::line::{Body, Line};
-use beechcroft_ropes::conduct::{share, takes_further_tries, LAST};
-use beechcroft_ropes::Outcome;
-use beechcroft_saddle::Pins;
+use beechcroft_balancer::{Choice, Keyed, Share, Side, Want, Why};
+use beechcroft_config::config::RouteType;
+use beechcroft_consensus::Stage;
+use beechcroft_error::Kind;
+use beechcroft_hotkeys::Pins;
+use beechcroft_outlier::lease::{self, Bar};
+use beechcroft_retry::{Crossing, End, Next};
+use beechcroft_rollout::conduct::{share, takes_further_tries, LAST};
+use beechcroft_rollout::Outcome;
+use beechcroft_routing::{Table, Way};
+use beechcroft_transport::guard::Ask;
+use beechcroft_transport::line::{Body, Line};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use std::cell::{Cell, RefCell};
 use std::future::pending;
@@ -470,7 +470,7 @@
         self.count(beaten.is_some());
         let Some(failed) = self.failed.or(beaten) else { return };
         let outcome = Outcome {
-            on_trial: self.on_trial.then(|| beechcroft_ropes::short(&self.unit)),
+            on_trial: self.on_trial.then(|| beechcroft_rollout::short(&self.unit)),
             route: self.task.route as u32,
             failed,
             spent: self.began.elapsed(),
--- a/crates/beechcroft-trail/src/guide.rs
+++ b/crates/beechcroft-proxy/src/guide.rs
@@ -3,18 +3,18 @@
 
 use crate::shared::{Phase, Shared};
 use crate::start::Start;
-use beechcroft_belvedere::{short, Bench, Own, Verdict};
-use beechcroft_cairns::letter::{Crowded, Sign};
-use beechcroft_cairns::{Action, Cairns, Letter, Member, Standing, EVERY_BEAT};
-use beechcroft_hutbook::state::Admits;
-use beechcroft_hutbook::{ConfigStore, Orders, Stage, Value, CONFIG, ORDERS};
-use beechcroft_junction::Table;
-use beechcroft_pace::{Place, Side};
-use beechcroft_pass::errand::Errands;
-use beechcroft_pass::post::Post;
-use beechcroft_ropes::conduct::LAST;
-use beechcroft_ropes::{Count, Word};
-use beechcroft_waymarks::State;
+use beechcroft_balancer::{Place, Side};
+use beechcroft_consensus::state::Admits;
+use beechcroft_consensus::{ConfigStore, Orders, Stage, Value, CONFIG, ORDERS};
+use beechcroft_gossip::letter::{Crowded, Sign};
+use beechcroft_gossip::{Action, Cairns, Letter, Member, Standing, EVERY_BEAT};
+use beechcroft_outlier::{short, Bench, Own, Verdict};
+use beechcroft_registry::State;
+use beechcroft_rollout::conduct::LAST;
+use beechcroft_rollout::{Count, Word};
+use beechcroft_routing::Table;
+use beechcroft_transport::errand::Errands;
+use beechcroft_transport::post::Post;
 use rapidhash::v3::rapidhash_v3;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -383,7 +383,7 @@
     fn mark_silent(&mut self, now: u64) {
         // Only every few beats are passed on.
         let patience = (EVERY_BEAT + SILENT_BEATS) * self.shared.settings.heartbeat_ms + 500;
-        let silent = |unit: &beechcroft_waymarks::Unit| now.saturating_sub(unit.heard_at) > patience;
+        let silent = |unit: &beechcroft_registry::Unit| now.saturating_sub(unit.heard_at) > patience;
         let known = || self.cairns.units.all().filter(|unit| unit.note.state == State::Ready);
         let many = known().filter(|unit| silent(unit)).count() * 2 > known().count();
         let mut yard = self.shared.yard.borrow_mut();
@@ -531,7 +531,7 @@
             let Member { name, region, incarnation, .. } = &self.cairns.me;
             if !units.is_empty() {
                 let (relay, region, service) = (name.clone(), region.clone(), service.name.clone());
-                let word = beechcroft_belvedere::Word {
+                let word = beechcroft_outlier::Word {
                     relay,
                     region,
                     incarnation: *incarnation,
--- a/crates/beechcroft-trail/src/main.rs
+++ b/crates/beechcroft-proxy/src/main.rs
@@ -1,9 +1,9 @@
 //! trail: the program of the edge machines. It carries requests to units and judges new versions by them.
 
-use beechcroft_map::usual::Usual;
-use beechcroft_map::Settings;
-use beechcroft_pass::lifecycle::{self, Outside};
-use beechcroft_trail::run::run;
+use beechcroft_config::usual::Usual;
+use beechcroft_config::Settings;
+use beechcroft_proxy::run::run;
+use beechcroft_transport::lifecycle::{self, Outside};
 use std::process::ExitCode;
 
 mod flags {
--- a/crates/beechcroft-trail/src/offer.rs
+++ b/crates/beechcroft-proxy/src/offer.rs
@@ -1,10 +1,10 @@
 //! One offer of a request to a unit: a connection, the bytes out, the answer's head and its body.
 
 use crate::shared::{Shared, PIECE};
-use beechcroft_crossing::{heard, End, Head, Heard};
-use beechcroft_pass::guard::{self, Ask, Framing, Read, Reply};
-use beechcroft_pass::line::{Body, Line};
-use beechcroft_railing::{stands, Guard};
+use beechcroft_retry::{heard, End, Head, Heard};
+use beechcroft_safeguards::{stands, Guard};
+use beechcroft_transport::guard::{self, Ask, Framing, Read, Reply};
+use beechcroft_transport::line::{Body, Line};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/beechcroft-trail/src/pool.rs
+++ b/crates/beechcroft-proxy/src/pool.rs
@@ -1,8 +1,8 @@
 //! Kept connections to units. A connection comes back only after a whole answer with nothing unread behind it,
 //! and is used again only well inside the time for which the unit keeps it.
 
-use beechcroft_pass::line::Line;
-use beechcroft_railing::{stands, Guard};
+use beechcroft_safeguards::{stands, Guard};
+use beechcroft_transport::line::Line;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/crates/beechcroft-trail/src/serve.rs
+++ b/crates/beechcroft-proxy/src/serve.rs
@@ -5,12 +5,12 @@
 use crate::guide::Queue;
 use crate::offer::{push_part, write_paced, write_within, Answer, Rest};
 use crate::shared::{Phase, Shared};
-use beechcroft_kinds::Kind;
-use beechcroft_pass::guard::{self, Ask, Framing, Read};
-use beechcroft_pass::line::{Body, Line};
-use beechcroft_pass::Stream;
-use beechcroft_railing::{stands, Guard};
-use beechcroft_saddle::{key_of, Pins};
+use beechcroft_error::Kind;
+use beechcroft_hotkeys::{key_of, Pins};
+use beechcroft_safeguards::{stands, Guard};
+use beechcroft_transport::guard::{self, Ask, Framing, Read};
+use beechcroft_transport::line::{Body, Line};
+use beechcroft_transport::Stream;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -105,8 +105,8 @@
     while !body.done() && held.len() < HELD_BODY {
         match timeout_at(until, body.next(line, &mut held)).await {
             Ok(Ok(())) => {}
-            Ok(Err(beechcroft_pass::line::Broken::Early)) => return false,
-            Ok(Err(beechcroft_pass::line::Broken::Spoilt)) => {
+            Ok(Err(beechcroft_transport::line::Broken::Early)) => return false,
+            Ok(Err(beechcroft_transport::line::Broken::Spoilt)) => {
                 answer_own(line, Kind::Malformed, 0, false).await;
                 return false;
             }
--- a/crates/beechcroft-trail/src/shared.rs
+++ b/crates/beechcroft-proxy/src/shared.rs
@@ -2,16 +2,16 @@
 //! and nothing is held borrowed across a wait.
 
 use crate::pool::Pool;
-use beechcroft_belvedere::lease::Moves;
-use beechcroft_belvedere::Count;
-use beechcroft_hutbook::Orders;
-use beechcroft_junction::Table;
-use beechcroft_map::usual::Usual;
-use beechcroft_map::Settings;
-use beechcroft_pace::{Flow, Share, Tries, Yard};
-use beechcroft_pass::Ground;
-use beechcroft_ropes::Judge;
-use beechcroft_saddle::Crowd;
+use beechcroft_balancer::{Flow, Share, Tries, Yard};
+use beechcroft_config::usual::Usual;
+use beechcroft_config::Settings;
+use beechcroft_consensus::Orders;
+use beechcroft_hotkeys::Crowd;
+use beechcroft_outlier::lease::Moves;
+use beechcroft_outlier::Count;
+use beechcroft_rollout::Judge;
+use beechcroft_routing::Table;
+use beechcroft_transport::Ground;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/beechcroft-trail/src/start.rs
+++ b/crates/beechcroft-proxy/src/start.rs
@@ -5,7 +5,7 @@
 //! acknowledged before the relay asked is counted in. It begins once it holds copies that are no older. A hut without
 //! contact refuses, and the next one is asked.
 
-use beechcroft_railing::{stands, Guard};
+use beechcroft_safeguards::{stands, Guard};
 
 /// Between two asks. The earlier ones are still waited for.
 const ASK_EVERY_MS: u64 = 300;
--- a/crates/beechcroft-trail/tests/ends/mod.rs
+++ b/crates/beechcroft-proxy/tests/ends/mod.rs
@@ -1,13 +1,13 @@
 //! Units and a client at the ends of connections of this file's own: what units say, and where a connection ends. No
 //! sockets; the clock stands unless all wait.
 
-use beechcroft_junction::Table;
-use beechcroft_map::{Config, Settings};
-use beechcroft_pace::{Place, Side};
-use beechcroft_pass::ground::{Accepted, Pipe, World};
-use beechcroft_pass::{Ground, Stream};
-use beechcroft_trail::serve;
-use beechcroft_trail::shared::{Phase, Shared};
+use beechcroft_balancer::{Place, Side};
+use beechcroft_config::{Config, Settings};
+use beechcroft_proxy::serve;
+use beechcroft_proxy::shared::{Phase, Shared};
+use beechcroft_routing::Table;
+use beechcroft_transport::ground::{Accepted, Pipe, World};
+use beechcroft_transport::{Ground, Stream};
 use std::collections::VecDeque;
 use std::future::{pending, Future};
 use std::io;
--- a/crates/beechcroft-trail/tests/owners.rs
+++ b/crates/beechcroft-proxy/tests/owners.rs
@@ -3,7 +3,7 @@
 
 mod ends;
 
-use beechcroft_railing::{without, Guard};
+use beechcroft_safeguards::{without, Guard};
 use ends::{answer, read, right, run, write, Cut, Script, Stand, CUTS, SOUND};
 use std::time::Duration;
 
--- a/crates/beechcroft-trail/tests/start.rs
+++ b/crates/beechcroft-proxy/tests/start.rs
@@ -1,7 +1,7 @@
 //! What a relay may begin with when the first machine that it reaches is cut off.
 
-use beechcroft_railing::{without, Guard};
-use beechcroft_trail::start::Start;
+use beechcroft_proxy::start::Start;
+use beechcroft_safeguards::{without, Guard};
 
 #[test]
 fn copies_that_no_majority_confirms_are_not_gone_by() {
--- a/crates/beechcroft-crossing/src/lib.rs
+++ b/crates/beechcroft-retry/src/lib.rs
@@ -4,8 +4,8 @@
 //! A request is unsent, offered, maybe run, or answered. Only one that has surely not run may be offered again
 //! if it is not repeatable, and only then may it be refused with a promise (rules TWICE and REFUSED).
 
-use beechcroft_kinds::Kind;
-use beechcroft_railing::{stands, Guard};
+use beechcroft_error::Kind;
+use beechcroft_safeguards::{stands, Guard};
 
 /// What a head that came in the place of an answer says of whose it is and what became of the request.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/beechcroft-ropes/src/conduct.rs
+++ b/crates/beechcroft-rollout/src/conduct.rs
@@ -4,7 +4,7 @@
 use crate::{Count, ILL_SHARE};
 use beechcroft::cusum::{log_ratio, MIN_OUTCOMES};
 use beechcroft::histogram::excess;
-use beechcroft_railing::{stands, Guard};
+use beechcroft_safeguards::{stands, Guard};
 use std::collections::BTreeMap;
 
 /// The part of requests that a stage after the trial sends to the new version; after the last one nothing goes to
--- a/crates/beechcroft-ropes/src/lib.rs
+++ b/crates/beechcroft-rollout/src/lib.rs
@@ -2,13 +2,13 @@
 //! one bit and one divergence to its peers, a vote back when the weighted bits reach M. [`conduct`] runs on the
 //! core machines: it takes a rollout on from stage to stage while nothing speaks against it. No I/O.
 //!
-//! The mechanism is `beechcroft`'s own (`src/cusum.rs`); `docs/design/ropes.md` argues each departure.
+//! The mechanism is `beechcroft`'s own (`src/cusum.rs`); `docs/design/rollout.md` argues each departure.
 
 pub mod conduct;
 
 use beechcroft::cusum::{self, Cusum, LOG_GAMMA, MIN_OUTCOMES};
 use beechcroft::histogram::{excess, Histogram, Tally};
-use beechcroft_railing::{stands, Guard};
+use beechcroft_safeguards::{stands, Guard};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/beechcroft-ropes/tests/conduct.rs
+++ b/crates/beechcroft-rollout/tests/conduct.rs
@@ -1,10 +1,10 @@
 //! How the core takes a rollout on, and what makes it wait.
 
-use beechcroft_railing::{without, Guard};
-use beechcroft_ropes::conduct::{
+use beechcroft_rollout::conduct::{
     conduct, excess_of_few, share, takes_further_tries, Before, Next, View, LAST,
 };
-use beechcroft_ropes::Count;
+use beechcroft_rollout::Count;
+use beechcroft_safeguards::{without, Guard};
 use std::collections::BTreeMap;
 
 fn view(stage: u8, stage_ms: u64) -> View {
--- a/crates/beechcroft-ropes/tests/judge.rs
+++ b/crates/beechcroft-rollout/tests/judge.rs
@@ -1,5 +1,5 @@
-use beechcroft_railing::{without, Guard};
-use beechcroft_ropes::{Judge, Outcome, Stand, Word};
+use beechcroft_rollout::{Judge, Outcome, Stand, Word};
+use beechcroft_safeguards::{without, Guard};
 use std::time::Duration;
 
 const UNITS: u16 = 16;
--- a/crates/beechcroft-junction/src/lib.rs
+++ b/crates/beechcroft-routing/src/lib.rs
@@ -1,6 +1,6 @@
 //! From host and path to a route, by version. A table is made once from a configuration and never changed.
 
-use beechcroft_map::config::{Config, KeyPart, Limits, Route, RouteType, Service};
+use beechcroft_config::config::{Config, KeyPart, Limits, Route, RouteType, Service};
 use std::collections::HashMap;
 
 /// A route as requests use it.
--- a/crates/beechcroft-railing/tests/railing.rs
+++ b/crates/beechcroft-safeguards/tests/railing.rs
@@ -1,4 +1,4 @@
-use beechcroft_railing::{stands, without, Guard};
+use beechcroft_safeguards::{stands, without, Guard};
 
 #[test]
 fn a_guard_is_out_on_one_thread_and_only_as_long_as_it_is_held_out() {
--- a/crates/beechcroft-range/src/crowd.rs
+++ b/crates/beechcroft-simulator/src/crowd.rs
@@ -3,9 +3,9 @@
 
 use crate::agenda::Agenda;
 use crate::units::{Taken, Unit};
-use beechcroft_crossing::{Crossing, End, Next};
-use beechcroft_pace::{Keyed, Place, Side, Want, Yard};
-use beechcroft_saddle::{key_of, Crowd, Pins, PART};
+use beechcroft_balancer::{Keyed, Place, Side, Want, Yard};
+use beechcroft_hotkeys::{key_of, Crowd, Pins, PART};
+use beechcroft_retry::{Crossing, End, Next};
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, Zipf};
@@ -191,7 +191,7 @@
         from: usize,
         incarnation: u64,
         count: u32,
-        word: beechcroft_saddle::Word,
+        word: beechcroft_hotkeys::Word,
     },
     TroubleBegins,
     TroubleEnds,
@@ -673,8 +673,8 @@
                 // The first place of the crowded key.
                 let hot = self.hot[0];
                 let ids = (0..self.units.len()).filter(|&at| self.units[at].region == 0);
-                let units = ids.map(|at| (at, &*self.units[at].id, beechcroft_saddle::Near::Region));
-                let lost = beechcroft_saddle::rank(hot, units)[0];
+                let units = ids.map(|at| (at, &*self.units[at].id, beechcroft_hotkeys::Near::Region));
+                let lost = beechcroft_hotkeys::rank(hot, units)[0];
                 let (running, waiting) = self.units[lost].crash();
                 for id in running.into_iter().chain(waiting) {
                     if self.requests.contains_key(&id) {
--- a/crates/beechcroft-range/src/sight.rs
+++ b/crates/beechcroft-simulator/src/sight.rs
@@ -2,9 +2,9 @@
 //! messages; and, apart from that, a placement that moves while relays are cut off. Verdicts and leases are
 //! `belvedere` as it runs.
 
-use beechcroft_belvedere::lease::may_place;
-use beechcroft_belvedere::{Bench, Count, Own, Verdict, Word};
-use beechcroft_map::config::Unfit;
+use beechcroft_config::config::Unfit;
+use beechcroft_outlier::lease::may_place;
+use beechcroft_outlier::{Bench, Count, Own, Verdict, Word};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Poisson};
 use rand_pcg::Pcg64Mcg;
@@ -286,7 +286,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use beechcroft_map::config::Preset;
+    use beechcroft_config::config::Preset;
 
     #[test]
     fn brief_losses_of_sight_and_lost_words_set_no_sound_unit_aside_but_losses_everywhere_would() {
--- a/crates/beechcroft-range/src/whole/actors.rs
+++ b/crates/beechcroft-simulator/src/whole/actors.rs
@@ -4,9 +4,9 @@
 use super::fabric::Fabric;
 use super::wires::{Answered, Asked, Came, Said, Wires};
 use super::wrongs::Wrong;
-use beechcroft_pass::guard::{self, Read};
-use beechcroft_pass::line::{Body, Line};
-use beechcroft_pass::Ground;
+use beechcroft_transport::guard::{self, Read};
+use beechcroft_transport::line::{Body, Line};
+use beechcroft_transport::Ground;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1};
 use rand_pcg::Pcg64Mcg;
--- a/crates/beechcroft-range/src/whole/day.rs
+++ b/crates/beechcroft-simulator/src/whole/day.rs
@@ -17,11 +17,11 @@
 use super::process::{self, Process};
 use super::scenario::{Event, Mutant, Scenario, What};
 use super::wires::{self, Life, Order, Sent, Trouble};
-use beechcroft_hut::disk::Disk;
-use beechcroft_map::usual::Usual;
-use beechcroft_map::Settings;
-use beechcroft_pass::lifecycle::Outside;
-use beechcroft_pass::Ground;
+use beechcroft_config::usual::Usual;
+use beechcroft_config::Settings;
+use beechcroft_control::disk::Disk;
+use beechcroft_transport::lifecycle::Outside;
+use beechcroft_transport::Ground;
 use operator::{Aim, Book};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -134,7 +134,7 @@
         .build()
         .expect("a runtime without sockets");
     let scenario = scenario.clone();
-    let _out = beechcroft_railing::without(scenario.without);
+    let _out = beechcroft_safeguards::without(scenario.without);
     runtime.block_on(LocalSet::new().run_until(async move { play(scenario).await }))
 }
 
@@ -343,13 +343,13 @@
                     if let Some(Mutant::BothWin | Mutant::TakesOnce | Mutant::Mute) = mutant {
                         spawn_local(mutants::hut(stage, ground, SocketAddrV4::new(ip, CONTROL), mutant));
                     }
-                    beechcroft_hut::run::run(settings, usual, outside, disk, table).await
+                    beechcroft_control::run::run(settings, usual, outside, disk, table).await
                 }
                 None => {
                     if let Some(mutant) = mutant {
                         spawn_local(mutants::edge(stage, ground, SocketAddrV4::new(ip, INGRESS), mutant));
                     }
-                    let run = beechcroft_trail::run::run(settings, usual, outside);
+                    let run = beechcroft_proxy::run::run(settings, usual, outside);
                     match mutant {
                         Some(Mutant::Quits) => tokio::select! {
                             done = run => done,
--- a/crates/beechcroft-range/src/whole/disk.rs
+++ b/crates/beechcroft-simulator/src/whole/disk.rs
@@ -2,7 +2,7 @@
 //! numbered over the world; any of them may hang or fail.
 
 use super::fabric::Fabric;
-use beechcroft_hut::disk::{Keeps, Records};
+use beechcroft_control::disk::{Keeps, Records};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -90,7 +90,7 @@
     pub fn open(&self) -> Table {
         let mut state = self.state.borrow_mut();
         let damaged = std::mem::take(&mut state.damaged);
-        beechcroft_hut::disk::repair(|name| damaged.contains(name), &mut state.table);
+        beechcroft_control::disk::repair(|name| damaged.contains(name), &mut state.table);
         state.table.clone()
     }
 
--- a/crates/beechcroft-range/src/whole/fabric.rs
+++ b/crates/beechcroft-simulator/src/whole/fabric.rs
@@ -2,7 +2,7 @@
 //! Times are those of the runtime's paused clock, whole milliseconds. What happens is numbered, so that a fault can
 //! be put at the k-th letter or connection.
 
-use beechcroft_pass::ground::{Accepted, Pipe, World};
+use beechcroft_transport::ground::{Accepted, Pipe, World};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
--- a/crates/beechcroft-range/src/whole/mutants.rs
+++ b/crates/beechcroft-simulator/src/whole/mutants.rs
@@ -3,10 +3,10 @@
 use super::actors::{read_answer, Stage, UNIT_PORT};
 use super::scenario::Mutant;
 use super::wires::Life;
-use beechcroft_pass::desk::{self, Answer, Bounds};
-use beechcroft_pass::guard::{self, Ask, Read};
-use beechcroft_pass::line::{Body, Line};
-use beechcroft_pass::Ground;
+use beechcroft_transport::desk::{self, Answer, Bounds};
+use beechcroft_transport::guard::{self, Ask, Read};
+use beechcroft_transport::line::{Body, Line};
+use beechcroft_transport::Ground;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/beechcroft-range/src/whole/wrongs.rs
+++ b/crates/beechcroft-simulator/src/whole/wrongs.rs
@@ -2,7 +2,7 @@
 //! that the auditor knows it where it reaches a client.
 
 use super::actors::{Stage, Unit};
-use beechcroft_pass::line::Line;
+use beechcroft_transport::line::Line;
 use serde::{Deserialize, Serialize};
 use std::future::pending;
 use std::time::Duration;
--- a/crates/beechcroft-range/tests/answers.rs
+++ b/crates/beechcroft-simulator/tests/answers.rs
@@ -1,10 +1,10 @@
 //! Units that answer for another request, for nobody, twice, late or in part: no answer reaches a caller that is not
 //! its own, and nothing that may have run is sent again.
 
-use beechcroft_railing::Guard;
-use beechcroft_range::whole::scenario::{Event, What};
-use beechcroft_range::whole::wrongs::Wrong;
-use beechcroft_range::whole::{play, Report, Scenario};
+use beechcroft_safeguards::Guard;
+use beechcroft_simulator::whole::scenario::{Event, What};
+use beechcroft_simulator::whole::wrongs::Wrong;
+use beechcroft_simulator::whole::{play, Report, Scenario};
 use strum::IntoEnumIterator;
 
 /// A short day on which half of the answers of most units are wrong in one way.
--- a/crates/beechcroft-range/tests/days.rs
+++ b/crates/beechcroft-simulator/tests/days.rs
@@ -1,6 +1,6 @@
 //! The scenarios that stand in `examples/days`: each is sound, names what goes wrong, and breaks no rule.
 
-use beechcroft_range::whole::{play, Scenario};
+use beechcroft_simulator::whole::{play, Scenario};
 
 fn days() -> Vec<Scenario> {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/days");
--- a/crates/beechcroft-range/tests/membership.rs
+++ b/crates/beechcroft-simulator/tests/membership.rs
@@ -1,8 +1,8 @@
 //! Core machines lost one after the other, each `syncS` after the one before came back; leavers, replaced machines, one that is
 //! cut off, replaced and comes back. Orders are acknowledged throughout, and what was acknowledged is read at the end.
 
-use beechcroft_railing::Guard;
-use beechcroft_range::whole::{play, Report, Scenario};
+use beechcroft_safeguards::Guard;
+use beechcroft_simulator::whole::{play, Report, Scenario};
 
 const SYNC_S: f64 = 4.0;
 /// From the start of the machines to that of traffic.
--- a/crates/beechcroft-range/tests/orders.rs
+++ b/crates/beechcroft-simulator/tests/orders.rs
@@ -1,11 +1,11 @@
 //! Both programs as they run, in the world, under orders that race, come again, or are read after later ones. What an order
 //! without a base may not do: undo a later one, or be confirmed falsely. Each guard is taken out once.
 
-use beechcroft_hutbook::{ConfigStore, Orders, Stage, Value};
-use beechcroft_railing::Guard;
-use beechcroft_range::whole::fabric::CutHow;
-use beechcroft_range::whole::scenario::What;
-use beechcroft_range::whole::{by_hand, Hand, Scenario};
+use beechcroft_consensus::{ConfigStore, Orders, Stage, Value};
+use beechcroft_safeguards::Guard;
+use beechcroft_simulator::whole::fabric::CutHow;
+use beechcroft_simulator::whole::scenario::What;
+use beechcroft_simulator::whole::{by_hand, Hand, Scenario};
 use std::future::Future;
 
 const BEGIN: &str = "/evacuation/zone-0a/begin";
--- a/crates/beechcroft-range/tests/rollouts.rs
+++ b/crates/beechcroft-simulator/tests/rollouts.rs
@@ -1,7 +1,7 @@
 //! What a bad version of a service that is hardly asked gets, over all its stages.
 
-use beechcroft_railing::Guard;
-use beechcroft_range::whole::{play, Scenario};
+use beechcroft_safeguards::Guard;
+use beechcroft_simulator::whole::{play, Scenario};
 
 /// The kept day with other draws: on these all that is told up to the last stage speaks for the version, and nothing but
 /// where further tries go keeps it within its share.
--- a/crates/beechcroft-range/tests/troubles.rs
+++ b/crates/beechcroft-simulator/tests/troubles.rs
@@ -1,8 +1,8 @@
 //! The world's own faults: what it did that no platform does, and an auditor stricter than the rules.
 
-use beechcroft_range::whole::audit::{judge, Bounds};
-use beechcroft_range::whole::wires::{Order, Sent, Trouble, What, Wires};
-use beechcroft_range::whole::{play, Scenario};
+use beechcroft_simulator::whole::audit::{judge, Bounds};
+use beechcroft_simulator::whole::wires::{Order, Sent, Trouble, What, Wires};
+use beechcroft_simulator::whole::{play, Scenario};
 
 /// An edge is down while all others are, so that its own return follows that of all; then it is down for good.
 const TWICE_BACK: &str = r#"
--- a/crates/beechcroft-range/tests/whole.rs
+++ b/crates/beechcroft-simulator/tests/whole.rs
@@ -1,8 +1,8 @@
 //! The auditor finds every broken part, and finds nothing in the sound system.
 
-use beechcroft_railing::Guard;
-use beechcroft_range::whole::scenario::Mutant;
-use beechcroft_range::whole::{play, Scenario};
+use beechcroft_safeguards::Guard;
+use beechcroft_simulator::whole::scenario::Mutant;
+use beechcroft_simulator::whole::{play, Scenario};
 use strum::IntoEnumIterator;
 
 fn everything() -> Scenario {
--- a/crates/beechcroft-cache/src/lib.rs
+++ b/crates/beechcroft-storage/src/lib.rs
@@ -22,7 +22,7 @@
 
 pub use damage::Damage;
 
-use beechcroft_railing::{stands, Guard};
+use beechcroft_safeguards::{stands, Guard};
 use frame::{sum_of, Frame};
 use okaywal::{Configuration, Entry, EntryId, LogManager, SegmentReader, WriteAheadLog};
 use std::collections::BTreeMap;
--- a/crates/beechcroft-cache/tests/damage.rs
+++ b/crates/beechcroft-storage/tests/damage.rs
@@ -1,8 +1,8 @@
 //! Files that were synced and came back different. Whatever is lost of them is named, or is not lost: a record that is
 //! not named has the value that was written last.
 
-use beechcroft_cache::{Cache, Damage, Files, Table};
-use beechcroft_railing::{without, Guard};
+use beechcroft_safeguards::{without, Guard};
+use beechcroft_storage::{Cache, Damage, Files, Table};
 use std::fs;
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
--- a/crates/beechcroft-cache/tests/power.rs
+++ b/crates/beechcroft-storage/tests/power.rs
@@ -1,7 +1,7 @@
 //! What is left after a loss of power, at each step at which it may come. A write that was acknowledged must be
 //! there; one that was not may be there whole or not at all.
 
-use beechcroft_cache::{Cache, Table};
+use beechcroft_storage::{Cache, Table};
 use std::fs;
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
--- a/crates/beechcroft-store/tests/follow.rs
+++ b/crates/beechcroft-store/tests/follow.rs
@@ -2,9 +2,9 @@
 //! this claim is the one it holds.
 
 use beechcroft::{PeerId, TrackId, UnitId};
+use beechcroft_fakes::store::{Script, Store as StandIn};
 use beechcroft_shared::marks::{Found, Mark};
 use beechcroft_shared::Holder;
-use beechcroft_standins::store::{Script, Store as StandIn};
 use beechcroft_store::{name, Ask, Place, Store};
 use std::time::{Duration, Instant};
 
--- a/crates/beechcroft-pass/src/desk.rs
+++ b/crates/beechcroft-transport/src/desk.rs
@@ -6,8 +6,8 @@
 use crate::errand::CALL_ID;
 use crate::{Ground, Wire};
 use async_h1::server::{decode, Encoder};
-use beechcroft_kinds::{Fault, Kind};
-use beechcroft_railing::{stands, Guard};
+use beechcroft_error::{Fault, Kind};
+use beechcroft_safeguards::{stands, Guard};
 use futures_lite::io::{self, AsyncReadExt};
 use http_types::{Body, Request, Response, StatusCode};
 use std::future::Future;
--- a/crates/beechcroft-pass/src/errand.rs
+++ b/crates/beechcroft-transport/src/errand.rs
@@ -1,8 +1,8 @@
 //! Calls that this relay makes of another, by async-h1, on a connection kept for each.
 
 use crate::{Ground, Wire};
-use beechcroft_kinds::{Fault, Kind};
-use beechcroft_railing::{stands, Guard};
+use beechcroft_error::{Fault, Kind};
+use beechcroft_safeguards::{stands, Guard};
 use futures_lite::io::AsyncReadExt;
 use http_types::{Body, Method, Request, Url};
 use std::cell::{Cell, RefCell};
--- a/crates/beechcroft-pass/src/ground.rs
+++ b/crates/beechcroft-transport/src/ground.rs
@@ -1,5 +1,5 @@
 //! What a program stands on: the machine's own sockets and clocks, or a world's that plays them. The programs are
-//! the same on either; the world (`beechcroft-range`) is never linked into them.
+//! the same on either; the world (`beechcroft-simulator`) is never linked into them.
 
 use std::future::Future;
 use std::io;
--- a/crates/beechcroft-pass/src/guard.rs
+++ b/crates/beechcroft-transport/src/guard.rs
@@ -3,8 +3,8 @@
 //! Whatever could be read in two ways is refused: several lengths that differ, a length beside chunks, codings
 //! other than chunked. Raw targets and header values are passed on as they came.
 
-use beechcroft_kinds::Kind;
-use beechcroft_railing::{stands, Guard};
+use beechcroft_error::Kind;
+use beechcroft_safeguards::{stands, Guard};
 
 /// How the bytes after a head are told apart from the next head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/beechcroft-pass/src/lifecycle.rs
+++ b/crates/beechcroft-transport/src/lifecycle.rs
@@ -3,8 +3,8 @@
 
 use crate::ground::Ground;
 use crate::post::Post;
-use beechcroft_cairns::Letter;
-use beechcroft_map::{settings, Config, Settings};
+use beechcroft_config::{settings, Config, Settings};
+use beechcroft_gossip::Letter;
 use std::future::Future;
 use std::net::SocketAddrV4;
 use std::path::Path;
--- a/crates/beechcroft-pass/src/post.rs
+++ b/crates/beechcroft-transport/src/post.rs
@@ -1,7 +1,7 @@
 //! Letters between relays, one to a datagram.
 
 use crate::ground::{Datagrams, Ground};
-use beechcroft_cairns::Letter;
+use beechcroft_gossip::Letter;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
--- a/crates/beechcroft-pass/tests/calls.rs
+++ b/crates/beechcroft-transport/tests/calls.rs
@@ -1,10 +1,10 @@
 //! Calls between relays on kept connections: late, strange, doubled and broken answers never become another call's, and
 //! a desk that has read into a next call takes nothing of it for a third. Sockets are loopback pairs; nothing sleeps.
 
-use beechcroft_pass::desk::{self, Answer, Bounds};
-use beechcroft_pass::errand::Errands;
-use beechcroft_pass::Ground;
-use beechcroft_railing::{without, Guard};
+use beechcroft_safeguards::{without, Guard};
+use beechcroft_transport::desk::{self, Answer, Bounds};
+use beechcroft_transport::errand::Errands;
+use beechcroft_transport::Ground;
 use std::cell::Cell;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
--- a/crates/beechcroft-pass/tests/raw.rs
+++ b/crates/beechcroft-transport/tests/raw.rs
@@ -1,12 +1,12 @@
 //! The guard over raw bytes: a test for each hazard that was measured with async-h1 used bare, and what else
 //! could be read in two ways. Sockets are loopback pairs; nothing sleeps.
 
-use beechcroft_kinds::Kind;
-use beechcroft_pass::desk::{self, Answer, Bounds};
-use beechcroft_pass::errand::Errands;
-use beechcroft_pass::guard::{self, Framing, Read};
-use beechcroft_pass::line::{Body, Broken, Line};
-use beechcroft_pass::Ground;
+use beechcroft_error::Kind;
+use beechcroft_transport::desk::{self, Answer, Bounds};
+use beechcroft_transport::errand::Errands;
+use beechcroft_transport::guard::{self, Framing, Read};
+use beechcroft_transport::line::{Body, Broken, Line};
+use beechcroft_transport::Ground;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/src/cusum.rs
+++ b/src/cusum.rs
@@ -1,5 +1,5 @@
 //! The mechanism itself, as the paper has it: ratios, the running sum, the threshold, the fusion of bits. Used by
-//! [`crate::decide`] in the relay in service and by `beechcroft-ropes` in the system; neither holds a copy.
+//! [`crate::decide`] in the relay in service and by `beechcroft-rollout` in the system; neither holds a copy.
 
 pub const LOG_GAMMA: f64 = 9.21; // ln 10^4 ticks, the mean time between false alarms
 pub const NATS_FLOOR: f64 = 4.0; // no bit is set on less
