--- a/crates/beechcroft-adapter/src/wire.rs
+++ b/crates/beechcroft-adapter/src/wire.rs
@@ -20,15 +20,22 @@
 
 impl<'a> Line<'a> {
     fn get(&self, field: &str) -> Option<&'a str> {
-        self.rest.split(' ').find_map(|part| part.strip_prefix(field)?.strip_prefix('='))
+        self.rest
+            .split(' ')
+            .find_map(|part| part.strip_prefix(field)?.strip_prefix('='))
     }
     fn text(&self, field: &str) -> Result<&'a str, String> {
-        self.get(field).filter(|text| !text.is_empty()).ok_or_else(|| format!("{field}: missing"))
+        self.get(field)
+            .filter(|text| !text.is_empty())
+            .ok_or_else(|| format!("{field}: missing"))
     }
     fn opt<T: FromStr>(&self, field: &str) -> Result<Option<T>, String> {
         match self.get(field) {
             None => Ok(None),
-            Some(text) => text.parse().map(Some).map_err(|_| format!("{field}: malformed '{text}'")),
+            Some(text) => text
+                .parse()
+                .map(Some)
+                .map_err(|_| format!("{field}: malformed '{text}'")),
         }
     }
     fn num<T: FromStr>(&self, field: &str) -> Result<T, String> {
@@ -45,7 +52,8 @@
     /// A span; one below zero counts as zero.
     fn span(&self, field: &str) -> Result<Duration, String> {
         let value = self.real(field)?;
-        Duration::try_from_secs_f64(value.max(0.0)).map_err(|_| format!("{field}: malformed '{value}'"))
+        Duration::try_from_secs_f64(value.max(0.0))
+            .map_err(|_| format!("{field}: malformed '{value}'"))
     }
     fn flag(&self, field: &str) -> Result<bool, String> {
         match self.get(field) {
@@ -80,7 +88,8 @@
     }
     fn position(&self, field: &str, names: &[String]) -> Result<usize, String> {
         let text = self.text(field)?;
-        self.among(field, names).ok_or_else(|| format!("{field}: unknown '{text}'"))
+        self.among(field, names)
+            .ok_or_else(|| format!("{field}: unknown '{text}'"))
     }
     fn health(&self) -> Result<Health, String> {
         Ok(match self.text("health")? {
@@ -92,11 +101,14 @@
     }
     /// How many tasks the unit's load report says that it holds, if it came with one that says so.
     fn held(&self) -> Result<Option<f64>, String> {
-        let pairs = self.get("usage").filter(|text| !text.is_empty() && *text != "-");
+        let pairs = self
+            .get("usage")
+            .filter(|text| !text.is_empty() && *text != "-");
         let mut held = None;
         for pair in pairs.into_iter().flat_map(|text| text.split(',')) {
-            let value =
-                pair.split_once(':').and_then(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
+            let value = pair
+                .split_once(':')
+                .and_then(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
             let (name, value) = value.ok_or_else(|| format!("usage: malformed '{pair}'"))?;
             held = if name == "rif" { sound(value) } else { held };
         }
@@ -112,8 +124,12 @@
         if !digits.len().is_multiple_of(2) || !digits.iter().all(u8::is_ascii_hexdigit) {
             return Err(malformed());
         }
-        let pairs = digits.chunks_exact(2).map(|pair| std::str::from_utf8(pair).unwrap_or(""));
-        pairs.map(|pair| u8::from_str_radix(pair, 16).map_err(|_| malformed())).collect()
+        let pairs = digits
+            .chunks_exact(2)
+            .map(|pair| std::str::from_utf8(pair).unwrap_or(""));
+        pairs
+            .map(|pair| u8::from_str_radix(pair, 16).map_err(|_| malformed()))
+            .collect()
     }
 }
 
@@ -136,10 +152,19 @@
 
 impl Actions for Reply<'_> {
     fn dispatch(&mut self, task: &TaskId, unit: &UnitId, time_out: Duration) {
-        self.line(format_args!("ROUTE tid={} cap_s={} unit={}", task.0, micros(time_out), unit.0));
+        self.line(format_args!(
+            "ROUTE tid={} cap_s={} unit={}",
+            task.0,
+            micros(time_out),
+            unit.0
+        ));
     }
     fn nack(&mut self, task: &TaskId, hold_off: Duration) {
-        self.line(format_args!("DENY tid={} hold_off_s={}", task.0, micros(hold_off)));
+        self.line(format_args!(
+            "DENY tid={} hold_off_s={}",
+            task.0,
+            micros(hold_off)
+        ));
     }
     fn terminate(&mut self, task: &TaskId) {
         self.line(format_args!("LOSE tid={}", task.0));
@@ -153,7 +178,10 @@
             let _ = write!(hex, "{byte:02x}");
         }
         match peer {
-            Some(peer) => self.line(format_args!("PUBLISH neighbour_id={} payload={hex}", peer.0)),
+            Some(peer) => self.line(format_args!(
+                "PUBLISH neighbour_id={} payload={hex}",
+                peer.0
+            )),
             None => self.line(format_args!("PUBLISH neighbour_id=* payload={hex}")),
         }
     }
@@ -164,10 +192,17 @@
             Vote::Hold => 2,
             Vote::Back => 3,
         };
-        self.line(format_args!("VERDICT ver={} wave={} code={code}", build.0, stage.0));
+        self.line(format_args!(
+            "VERDICT ver={} wave={} code={code}",
+            build.0, stage.0
+        ));
     }
     fn wake(&mut self, after: Duration, token: Token) {
-        self.line(format_args!("WAKE_AT delay_s={} ref={}", micros(after), token.0));
+        self.line(format_args!(
+            "WAKE_AT delay_s={} ref={}",
+            micros(after),
+            token.0
+        ));
     }
     fn follow_list(&mut self) {
         self.line(format_args!("TAIL want=1"));
@@ -200,7 +235,9 @@
     let mut pending: Option<(u8, usize)> = None;
     loop {
         text.clear();
-        let read = input.read_line(&mut text).map_err(|error| format!("line {}: {error}", number + 1))?;
+        let read = input
+            .read_line(&mut text)
+            .map_err(|error| format!("line {}: {error}", number + 1))?;
         if read == 0 {
             let open = in_batch.then(|| format!("line {number}: input ends inside a batch"));
             return open.map_or(Ok(()), Err);
@@ -215,7 +252,10 @@
                 return Err(blame(format!("entries: {left} more expected")));
             }
             host.check_entry(&line).map_err(blame)?;
-            host.rosters.entry(roster).or_default().push(rest.to_owned());
+            host.rosters
+                .entry(roster)
+                .or_default()
+                .push(rest.to_owned());
             pending = (left > 1).then_some((roster, left - 1));
             continue;
         }
@@ -228,14 +268,17 @@
             ("GO", true) => {
                 in_batch = false;
                 host.out.push_str("FINISHED\n");
-                let sent = output.write_all(host.out.as_bytes()).and_then(|()| output.flush());
+                let sent = output
+                    .write_all(host.out.as_bytes())
+                    .and_then(|()| output.flush());
                 sent.map_err(|error| blame(error.to_string()))?;
                 host.out.clear();
             }
             ("MANIFEST", true) => {
                 let roster: u8 = line.num("roster_id").map_err(blame)?;
                 let entries: usize = line.num("entries").map_err(blame)?;
-                host.rosters.insert(roster, Vec::with_capacity(entries.min(4096)));
+                host.rosters
+                    .insert(roster, Vec::with_capacity(entries.min(4096)));
                 pending = (entries > 0).then_some((roster, entries));
             }
             (_, true) => host.event(&line).map_err(blame)?,
@@ -284,7 +327,9 @@
         self.instances = instances;
         told.unwrap_or_else(|panic| {
             let text = panic.downcast_ref::<String>().map(String::as_str);
-            let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
+            let text = text
+                .or(panic.downcast_ref::<&str>().copied())
+                .unwrap_or("panic");
             self.out.truncate(start);
             let _ = writeln!(self.out, "BUG who={who} what={}", text.replace('\n', " "));
             self.instances.remove(&who);
@@ -292,8 +337,16 @@
         })
     }
 
-    fn tell(&mut self, who: u32, line: &Line, all: &mut BTreeMap<u32, Instance>) -> Result<(), String> {
-        let act = &mut Reply { who, out: &mut self.out };
+    fn tell(
+        &mut self,
+        who: u32,
+        line: &Line,
+        all: &mut BTreeMap<u32, Instance>,
+    ) -> Result<(), String> {
+        let act = &mut Reply {
+            who,
+            out: &mut self.out,
+        };
         if line.name == "BOOT" {
             let salt: i128 = line.num("salt")?;
             let at = line.rest.find("params=").ok_or("params: missing")?;
@@ -362,8 +415,10 @@
                 line.unit()?;
                 let held = line.held()?;
                 let (dispatch, outcome) = (DispatchNo(line.num("trial")?), line.outcome()?);
-                let (spent, settled, id) = (line.span("spent_s")?, line.flag("settled")?, line.task()?);
-                held.into_iter().for_each(|held| relay.load_told(&id, dispatch, held));
+                let (spent, settled, id) =
+                    (line.span("spent_s")?, line.flag("settled")?, line.task()?);
+                held.into_iter()
+                    .for_each(|held| relay.load_told(&id, dispatch, held));
                 relay.dispatch_ended(&id, dispatch, outcome, spent, settled, act);
             }
             "CLIENT_LEFT" => relay.client_left(&line.task()?, act),
--- a/crates/beechcroft-config/src/config.rs
+++ b/crates/beechcroft-config/src/config.rs
@@ -31,8 +31,9 @@
     }
     match Either::deserialize(from)? {
         Either::Number(number) => Ok(number),
-        Either::Text(text) => u32::from_str_radix(&text, 16)
-            .map_err(|_| serde::de::Error::custom(format!("`{text}` is not eight hexadecimal digits"))),
+        Either::Text(text) => u32::from_str_radix(&text, 16).map_err(|_| {
+            serde::de::Error::custom(format!("`{text}` is not eight hexadecimal digits"))
+        }),
     }
 }
 
@@ -107,8 +108,17 @@
 
 impl From<Preset> for Unfit {
     fn from(preset: Preset) -> Unfit {
-        let late_times = if matches!(preset, Preset::Lookup) { 2.0 } else { 0.0 };
-        Unfit { late_times, error_share: 0.25, regions: 2, most_aside: 0.3 }
+        let late_times = if matches!(preset, Preset::Lookup) {
+            2.0
+        } else {
+            0.0
+        };
+        Unfit {
+            late_times,
+            error_share: 0.25,
+            regions: 2,
+            most_aside: 0.3,
+        }
     }
 }
 
@@ -221,29 +231,56 @@
         let invalid = |said: String| Fault::new(Kind::Invalid, said);
         let config: Config = serde_json::from_slice(body).map_err(|e| invalid(e.to_string()))?;
         let names: HashSet<&str> = config.services.iter().map(|s| s.name.as_str()).collect();
-        for route in config.virtual_hosts.iter().flat_map(|host| &host.path_rules) {
+        for route in config
+            .virtual_hosts
+            .iter()
+            .flat_map(|host| &host.path_rules)
+        {
             let wrong = |said: String| invalid(format!("route `{}`: {said}", route.name));
             if route.timeout_ms == 0 {
                 return Err(wrong("timeoutMs is 0".into()));
             }
             if !route.path_prefix.starts_with('/') {
-                return Err(wrong(format!("pathPrefix `{}` does not start with a slash", route.path_prefix)));
+                return Err(wrong(format!(
+                    "pathPrefix `{}` does not start with a slash",
+                    route.path_prefix
+                )));
             }
-            if route.service.is_none() && route.split.iter().map(|p| u64::from(p.weight)).sum::<u64>() == 0 {
-                return Err(wrong("names no service, and the weights of its split sum to 0".into()));
+            if route.service.is_none()
+                && route.split.iter().map(|p| u64::from(p.weight)).sum::<u64>() == 0
+            {
+                return Err(wrong(
+                    "names no service, and the weights of its split sum to 0".into(),
+                ));
             }
-            if route.key.as_ref().is_some_and(|key| key.segment.is_some() == key.header.is_some()) {
-                return Err(wrong("key names neither or both of segment and header".into()));
+            if route
+                .key
+                .as_ref()
+                .is_some_and(|key| key.segment.is_some() == key.header.is_some())
+            {
+                return Err(wrong(
+                    "key names neither or both of segment and header".into(),
+                ));
             }
             let parts = route.split.iter().map(|part| part.service.as_str());
-            if let Some(name) = route.service.as_deref().into_iter().chain(parts).find(|n| !names.contains(n))
+            if let Some(name) = route
+                .service
+                .as_deref()
+                .into_iter()
+                .chain(parts)
+                .find(|n| !names.contains(n))
             {
                 return Err(wrong(format!("service `{name}` is not known")));
             }
         }
-        config.validate().map_err(|report| invalid(report.to_string()))?;
+        config
+            .validate()
+            .map_err(|report| invalid(report.to_string()))?;
         if config.version <= config.base_version {
-            return Err(invalid(format!("version {:08x} is not above its base", config.version)));
+            return Err(invalid(format!(
+                "version {:08x} is not above its base",
+                config.version
+            )));
         }
         Ok(config)
     }
--- a/crates/beechcroft-config/src/settings.rs
+++ b/crates/beechcroft-config/src/settings.rs
@@ -53,7 +53,9 @@
 
 fn ports_span(ports: &[u16; 2], _: &()) -> garde::Result {
     if ports[1] <= ports[0] {
-        return Err(garde::Error::new("needs two ports or more: the first below the second"));
+        return Err(garde::Error::new(
+            "needs two ports or more: the first below the second",
+        ));
     }
     Ok(())
 }
--- a/crates/beechcroft-connections/src/lines.rs
+++ b/crates/beechcroft-connections/src/lines.rs
@@ -30,7 +30,10 @@
     }
 
     pub fn push(&mut self, slots: &mut SlotMap<Id, Slot>, which: usize, id: Id) {
-        slots[id].links[which] = Links { before: self.last, after: None };
+        slots[id].links[which] = Links {
+            before: self.last,
+            after: None,
+        };
         match self.last.replace(id) {
             Some(last) => slots[last].links[which].after = Some(id),
             None => self.first = Some(id),
@@ -52,7 +55,11 @@
         self.len -= 1;
     }
 
-    pub fn ids<'a>(&self, slots: &'a SlotMap<Id, Slot>, which: usize) -> impl Iterator<Item = Id> + 'a {
+    pub fn ids<'a>(
+        &self,
+        slots: &'a SlotMap<Id, Slot>,
+        which: usize,
+    ) -> impl Iterator<Item = Id> + 'a {
         std::iter::successors(self.first, move |&id| slots[id].links[which].after)
     }
 }
--- a/crates/beechcroft-connections/src/wheel.rs
+++ b/crates/beechcroft-connections/src/wheel.rs
@@ -19,7 +19,9 @@
 /// The first tick at or after a time.
 pub fn ticks(time: Duration) -> u32 {
     let ticks = time.as_nanos().div_ceil(TICK.as_nanos());
-    u32::try_from(ticks).unwrap_or(OVERDUE - 1).clamp(1, OVERDUE - 1) // some six years
+    u32::try_from(ticks)
+        .unwrap_or(OVERDUE - 1)
+        .clamp(1, OVERDUE - 1) // some six years
 }
 
 /// The last tick at or before a time.
@@ -35,7 +37,10 @@
 
 impl Default for Wheel {
     fn default() -> Wheel {
-        Wheel { places: vec![Line::default(); PLACES], next: 1 }
+        Wheel {
+            places: vec![Line::default(); PLACES],
+            next: 1,
+        }
     }
 }
 
--- a/crates/beechcroft-consensus/src/bytes.rs
+++ b/crates/beechcroft-consensus/src/bytes.rs
@@ -22,7 +22,10 @@
         match self {
             Unreadable::Empty => write!(f, "it is empty"),
             Unreadable::Version(found) => {
-                write!(f, "it is of format {found}, and this version of the program reads {VERSION}")
+                write!(
+                    f,
+                    "it is of format {found}, and this version of the program reads {VERSION}"
+                )
             }
             Unreadable::Garbled(said) => write!(f, "it is garbled: {said}"),
         }
@@ -40,7 +43,10 @@
     }
     match postcard::take_from_bytes(rest) {
         Ok((value, [])) => Ok(value),
-        Ok((_, rest)) => Err(Unreadable::Garbled(format!("{} bytes are left over", rest.len()))),
+        Ok((_, rest)) => Err(Unreadable::Garbled(format!(
+            "{} bytes are left over",
+            rest.len()
+        ))),
         Err(e) => Err(Unreadable::Garbled(e.to_string())),
     }
 }
--- a/crates/beechcroft-consensus/src/lib.rs
+++ b/crates/beechcroft-consensus/src/lib.rs
@@ -28,7 +28,9 @@
 pub const ORDERS: usize = 1;
 
 /// Orders rounds. The nonce is drawn anew by each process, so that no two rounds share a ballot.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Ballot {
     pub count: u64,
     pub nonce: u64,
--- a/crates/beechcroft-consensus/src/proposer.rs
+++ b/crates/beechcroft-consensus/src/proposer.rs
@@ -101,7 +101,10 @@
 }
 
 /// Applies the orders that wait, each with its outcome; whether any changed the value.
-fn carry(queue: VecDeque<Waiting>, mut apply: impl FnMut(&Op) -> Result<bool, Fault>) -> (Carried, bool) {
+fn carry(
+    queue: VecDeque<Waiting>,
+    mut apply: impl FnMut(&Op) -> Result<bool, Fault>,
+) -> (Carried, bool) {
     let mut changed = false;
     let carried = queue.into_iter().map(|waiting| {
         let outcome = apply(&waiting.op);
@@ -125,7 +128,13 @@
     pub fn new(salt: u64) -> Proposer {
         let mut rng = Pcg64Mcg::seed_from_u64(salt);
         let nonce = rng.random();
-        Proposer { voters: Vec::new(), nonce, count: 0, rng, sides: Default::default() }
+        Proposer {
+            voters: Vec::new(),
+            nonce,
+            count: 0,
+            rng,
+            sides: Default::default(),
+        }
     }
 
     pub fn voters(&mut self, voters: &[String], highest: u64) {
@@ -140,8 +149,15 @@
     /// `own`: what this machine's own voter has accepted in a register.
     pub fn on(&mut self, now: u64, event: Event, own: &Own, out: &mut Vec<Action>) {
         match event {
-            Event::Order { id, register, op, until } => {
-                self.sides[register].queue.push_back(Waiting { id, op, until });
+            Event::Order {
+                id,
+                register,
+                op,
+                until,
+            } => {
+                self.sides[register]
+                    .queue
+                    .push_back(Waiting { id, op, until });
                 self.begin(now, register, own, out);
             }
             Event::Withdrawn { id } => {
@@ -155,7 +171,12 @@
                     }
                 }
             }
-            Event::Reply { from, register, ballot, reply } => {
+            Event::Reply {
+                from,
+                register,
+                ballot,
+                reply,
+            } => {
                 self.reply(now, &from, register, ballot, reply, out);
                 self.begin(now, register, own, out);
             }
@@ -171,7 +192,11 @@
     /// Gives up what has waited too long, and rounds that hang.
     fn expire(&mut self, now: u64, register: usize, out: &mut Vec<Action>) {
         let side = &mut self.sides[register];
-        if side.round.as_ref().is_some_and(|round| now.saturating_sub(round.began) > ROUND_MS) {
+        if side
+            .round
+            .as_ref()
+            .is_some_and(|round| now.saturating_sub(round.began) > ROUND_MS)
+        {
             self.give_up(now, register);
         }
         self.drop_late(now, register, out);
@@ -182,8 +207,12 @@
         self.sides[register].queue.retain(|waiting| {
             let keep = waiting.until > now;
             if !keep {
-                let fault = Fault::new(Kind::NoMajority, "no majority of the core answered in time");
-                out.push(Action::Answer { id: waiting.id, answer: Err(fault) });
+                let fault =
+                    Fault::new(Kind::NoMajority, "no majority of the core answered in time");
+                out.push(Action::Answer {
+                    id: waiting.id,
+                    answer: Err(fault),
+                });
             }
             keep
         });
@@ -205,13 +234,22 @@
 
     fn begin(&mut self, now: u64, register: usize, own: &Own, out: &mut Vec<Action>) {
         let side = &mut self.sides[register];
-        if self.voters.is_empty() || side.round.is_some() || side.queue.is_empty() || now < side.not_before {
+        if self.voters.is_empty()
+            || side.round.is_some()
+            || side.queue.is_empty()
+            || now < side.not_before
+        {
             return;
         }
         self.count += 1;
-        let ballot = Ballot { count: self.count, nonce: self.nonce };
+        let ballot = Ballot {
+            count: self.count,
+            nonce: self.nonce,
+        };
         let have = own(register);
-        let under = have.as_ref().map_or(Ballot::default(), |(ballot, _)| *ballot);
+        let under = have
+            .as_ref()
+            .map_or(Ballot::default(), |(ballot, _)| *ballot);
         side.round = Some(Round {
             ballot,
             began: now,
@@ -224,11 +262,24 @@
             carried: Vec::new(),
         });
         let to = self.voters.clone();
-        out.push(Action::Ask { to, ask: Ask::Prepare { register, ballot, have: under } });
+        out.push(Action::Ask {
+            to,
+            ask: Ask::Prepare {
+                register,
+                ballot,
+                have: under,
+            },
+        });
     }
 
     fn reply(
-        &mut self, now: u64, from: &str, register: usize, ballot: Ballot, reply: Reply, out: &mut Vec<Action>,
+        &mut self,
+        now: u64,
+        from: &str,
+        register: usize,
+        ballot: Ballot,
+        reply: Reply,
+        out: &mut Vec<Action>,
     ) {
         if let Reply::Refused { promised, .. } = &reply {
             self.count = self.count.max(promised.count);
@@ -237,16 +288,34 @@
         if !self.voters.iter().any(|voter| voter == from) {
             return;
         }
-        let Some(round) = self.sides[register].round.as_mut().filter(|round| round.ballot == ballot) else {
+        let Some(round) = self.sides[register]
+            .round
+            .as_mut()
+            .filter(|round| round.ballot == ballot)
+        else {
             return;
         };
         // Whoever asks may not know that a machine holds another membership by now: what it says counts for that one alone,
         // however often it is asked.
-        let speaker =
-            |voter_id: String| if stands(Guard::OwnMembership) { voter_id } else { from.to_owned() };
+        let speaker = |voter_id: String| {
+            if stands(Guard::OwnMembership) {
+                voter_id
+            } else {
+                from.to_owned()
+            }
+        };
         match (reply, &mut round.offered) {
-            (Reply::Promise { voter_id, epoch, accepted }, None) => {
-                let under = accepted.as_ref().map_or(Ballot::default(), |(ballot, _)| *ballot);
+            (
+                Reply::Promise {
+                    voter_id,
+                    epoch,
+                    accepted,
+                },
+                None,
+            ) => {
+                let under = accepted
+                    .as_ref()
+                    .map_or(Ballot::default(), |(ballot, _)| *ballot);
                 let value = match accepted {
                     None => None,
                     Some((_, Some(value))) => Some(value),
@@ -263,7 +332,14 @@
                     self.offer(now, register, out);
                 }
             }
-            (Reply::Accepted { voter_id, epoch, epochs }, Some((_, accepted))) => {
+            (
+                Reply::Accepted {
+                    voter_id,
+                    epoch,
+                    epochs,
+                },
+                Some((_, accepted)),
+            ) => {
                 accepted.insert(speaker(voter_id), epoch);
                 for (voter_id, known) in epochs {
                     let held = round.epochs.entry(voter_id).or_default();
@@ -298,7 +374,9 @@
             self.drop_late(now, register, out);
         }
         let side = &mut self.sides[register];
-        let Some(round) = side.round.as_mut() else { return };
+        let Some(round) = side.round.as_mut() else {
+            return;
+        };
         let (under, held) = round.best.take().unwrap_or_default();
         let queue = std::mem::take(&mut side.queue);
         let applied = if register == CONFIG {
@@ -327,22 +405,33 @@
             Err((queue, fault)) => {
                 side.round = None;
                 side.not_before = now + ROUND_MS;
-                let answers = queue.into_iter().map(|waiting| (waiting.id, Err(fault.clone())));
+                let answers = queue
+                    .into_iter()
+                    .map(|waiting| (waiting.id, Err(fault.clone())));
                 out.extend(answers.map(|(id, answer)| Action::Answer { id, answer }));
                 return;
             }
         };
         let changed = bytes.is_some();
         let value = match bytes {
-            Some(bytes) => Value { revision: held.revision + 1, bytes },
+            Some(bytes) => Value {
+                revision: held.revision + 1,
+                bytes,
+            },
             None => held,
         };
-        let quorum: Vec<VoterEpoch> =
-            round.promises.iter().map(|(name, &(epoch, _))| (name.clone(), epoch)).collect();
+        let quorum: Vec<VoterEpoch> = round
+            .promises
+            .iter()
+            .map(|(name, &(epoch, _))| (name.clone(), epoch))
+            .collect();
         round.offered = Some((value.clone(), BTreeMap::new()));
         if !stands(Guard::ConfirmedRefusals) {
             let refused = round.carried.iter().filter_map(|(waiting, outcome)| {
-                Some(Action::Answer { id: waiting.id, answer: Err(outcome.clone().err()?) })
+                Some(Action::Answer {
+                    id: waiting.id,
+                    answer: Err(outcome.clone().err()?),
+                })
             });
             out.extend(refused);
         }
@@ -351,29 +440,59 @@
         let holds = |voter: &String| {
             !changed
                 && under != Ballot::default()
-                && round.promises.get(voter).is_some_and(|&(_, of)| of == under)
+                && round
+                    .promises
+                    .get(voter)
+                    .is_some_and(|&(_, of)| of == under)
         };
-        let (holders, others): (Vec<String>, Vec<String>) = self.voters.iter().cloned().partition(holds);
+        let (holders, others): (Vec<String>, Vec<String>) =
+            self.voters.iter().cloned().partition(holds);
         if !holders.is_empty() {
-            let ask = Ask::Confirm { register, ballot, of: under, quorum: quorum.clone() };
+            let ask = Ask::Confirm {
+                register,
+                ballot,
+                of: under,
+                quorum: quorum.clone(),
+            };
             out.push(Action::Ask { to: holders, ask });
         }
         if !others.is_empty() {
-            out.push(Action::Ask { to: others, ask: Ask::Accept { register, ballot, value, quorum } });
+            out.push(Action::Ask {
+                to: others,
+                ask: Ask::Accept {
+                    register,
+                    ballot,
+                    value,
+                    quorum,
+                },
+            });
         }
     }
 
     /// A majority has accepted.
     fn choose(&mut self, register: usize, out: &mut Vec<Action>) {
         let side = &mut self.sides[register];
-        let Some(Round { offered: Some((value, _)), carried, .. }) = side.round.take() else { return };
+        let Some(Round {
+            offered: Some((value, _)),
+            carried,
+            ..
+        }) = side.round.take()
+        else {
+            return;
+        };
         side.tries = 0;
         if value.revision > side.chosen {
             side.chosen = value.revision;
-            out.push(Action::Chosen { register, value: value.clone() });
+            out.push(Action::Chosen {
+                register,
+                value: value.clone(),
+            });
         }
         for (waiting, outcome) in carried {
-            out.push(Action::Answer { id: waiting.id, answer: outcome.map(|()| value.clone()) });
+            out.push(Action::Answer {
+                id: waiting.id,
+                answer: outcome.map(|()| value.clone()),
+            });
         }
     }
 }
