--- a/crates/beechcroft-control/src/desks.rs
+++ b/crates/beechcroft-control/src/desks.rs
@@ -54,12 +54,18 @@
 }
 
 /// Sends a command that is answered, and waits for it.
-async fn through<T>(queue: &Queue, make: impl FnOnce(oneshot::Sender<T>) -> Command) -> Result<T, Fault> {
+async fn through<T>(
+    queue: &Queue,
+    make: impl FnOnce(oneshot::Sender<T>) -> Command,
+) -> Result<T, Fault> {
     let (answer, told) = oneshot::channel();
     let within = Duration::from_millis(ORDER_MS + 200);
     let gone = || Fault::new(Kind::NoMajority, "no answer");
     queue.send(make(answer)).map_err(|_| gone())?;
-    tokio::time::timeout(within, told).await.map_err(|_| gone())?.map_err(|_| gone())
+    tokio::time::timeout(within, told)
+        .await
+        .map_err(|_| gone())?
+        .map_err(|_| gone())
 }
 
 fn invalid(e: impl std::fmt::Display) -> Fault {
@@ -130,14 +136,21 @@
             let ramp_ms = (begin.ramp_s.clamp(0.0, 1e6) * 1000.0) as u64;
             let (service, target) = (begin.service, begin.target_version);
             let (at_ms, repeat_ms) = (control.ground.wall().as_millis() as u64, control.repeat_ms);
-            let op = Op::Begin { service, target, ramp_ms, at_ms, repeat_ms };
+            let op = Op::Begin {
+                service,
+                target,
+                ramp_ms,
+                at_ms,
+                repeat_ms,
+            };
             order(queue, ORDERS, op, &call).await
         }
         Known::ShowRollout(service) => {
             let value = through(queue, ask(ORDERS, Op::Read, call.read)).await??;
             let orders = Orders::decode(&value)?;
             let held = orders.rollouts.get(&service);
-            let held = held.ok_or_else(|| Fault::new(Kind::NoThing, format!("no rollout of {service}")))?;
+            let held =
+                held.ok_or_else(|| Fault::new(Kind::NoThing, format!("no rollout of {service}")))?;
             let state = match held.stage {
                 beechcroft_consensus::Stage::Active(_) => "active",
                 beechcroft_consensus::Stage::Complete => "complete",
@@ -146,7 +159,9 @@
             let body = serde_json::json!({ "state": state, "targetVersion": held.target });
             Ok(Answer::json(body.to_string()))
         }
-        Known::BeginEvacuation(zone) => order(queue, ORDERS, Op::Evacuate { zone, begin: true }, &call).await,
+        Known::BeginEvacuation(zone) => {
+            order(queue, ORDERS, Op::Evacuate { zone, begin: true }, &call).await
+        }
         Known::FinishEvacuation(zone) => {
             order(queue, ORDERS, Op::Evacuate { zone, begin: false }, &call).await
         }
@@ -155,9 +170,16 @@
 }
 
 fn ask(
-    register: usize, op: Op, read: Instant,
+    register: usize,
+    op: Op,
+    read: Instant,
 ) -> impl FnOnce(oneshot::Sender<beechcroft_consensus::proposer::Answer>) -> Command {
-    move |answer| Command::Order { register, op, read, answer }
+    move |answer| Command::Order {
+        register,
+        op,
+        read,
+        answer,
+    }
 }
 
 /// An order that builds on nothing is begun only while its caller waits here: one that has closed may have given the same
@@ -165,7 +187,10 @@
 async fn order(queue: &Queue, register: usize, op: Op, call: &Call) -> Result<Answer, Fault> {
     let watched = !op.is_fenced() && stands(Guard::GoneCallers);
     if watched && call.caller.is_gone().await {
-        return Err(Fault::new(Kind::CallerGone, "keep the connection open until the answer has come"));
+        return Err(Fault::new(
+            Kind::CallerGone,
+            "keep the connection open until the answer has come",
+        ));
     }
     tokio::select! {
         biased;
@@ -182,9 +207,17 @@
     if calls::find(&call.method, &call.path) != Some(Known::Resolve) {
         return Kind::NoCall.into();
     }
-    let (region, zone) =
-        (call.query("region").unwrap_or("").to_owned(), call.query("zone").unwrap_or("").to_owned());
-    match through(&queue, |answer| Command::Resolve { region, zone, answer }).await {
+    let (region, zone) = (
+        call.query("region").unwrap_or("").to_owned(),
+        call.query("zone").unwrap_or("").to_owned(),
+    );
+    match through(&queue, |answer| Command::Resolve {
+        region,
+        zone,
+        answer,
+    })
+    .await
+    {
         Ok(found) if !found.is_empty() => {
             let body = serde_json::json!({ "addresses": found, "ttlS": ttl_s });
             Answer::json(body.to_string())
@@ -197,21 +230,25 @@
 pub async fn relays(queue: Queue, call: Call) -> Answer {
     let done = match call.path.as_str() {
         "/ask" => match postcard::from_bytes(&call.body) {
-            Ok(ask) => {
-                through(&queue, |answer| Command::Ask(ask, answer)).await.map(|r| postcard::to_stdvec(&r))
-            }
+            Ok(ask) => through(&queue, |answer| Command::Ask(ask, answer))
+                .await
+                .map(|r| postcard::to_stdvec(&r)),
             Err(e) => Err(invalid(e)),
         },
         "/copy" => {
             let register = usize::from(call.body.first().copied().unwrap_or(0) & 1);
-            through(&queue, |answer| Command::Copy(register, answer)).await.map(|v| postcard::to_stdvec(&v))
+            through(&queue, |answer| Command::Copy(register, answer))
+                .await
+                .map(|v| postcard::to_stdvec(&v))
         }
         "/revisions" => match through(&queue, Command::Revisions).await {
             Ok(Ok(revisions)) => Ok(postcard::to_stdvec(&revisions)),
             Ok(Err(fault)) | Err(fault) => Err(fault),
         },
         "/unit" => match postcard::from_bytes(&call.body) {
-            Ok(note) => through(&queue, |done| Command::Told(note, done)).await.map(|()| Ok(Vec::new())),
+            Ok(note) => through(&queue, |done| Command::Told(note, done))
+                .await
+                .map(|()| Ok(Vec::new())),
             Err(e) => Err(invalid(e)),
         },
         "/back" => match postcard::from_bytes::<(String, u64)>(&call.body) {
@@ -223,9 +260,13 @@
         },
         "/why" => {
             let unit = String::from_utf8_lossy(&call.body).into_owned();
-            through(&queue, |answer| Command::Why(unit, answer)).await.map(|text| Ok(text.into_bytes()))
+            through(&queue, |answer| Command::Why(unit, answer))
+                .await
+                .map(|text| Ok(text.into_bytes()))
         }
-        "/show" => through(&queue, Command::Show).await.map(|text| Ok(text.into_bytes())),
+        "/show" => through(&queue, Command::Show)
+            .await
+            .map(|text| Ok(text.into_bytes())),
         _ => Err(Fault::new(Kind::NoCall, call.path)),
     };
     match done {
--- a/crates/beechcroft-control/src/disk.rs
+++ b/crates/beechcroft-control/src/disk.rs
@@ -64,22 +64,24 @@
         let mut cache = open(&folder)?;
         let table = cache.table().clone();
         let (queue, jobs) = mpsc::channel::<(Records, oneshot::Sender<bool>)>();
-        std::thread::Builder::new().name("disk".into()).spawn(move || {
-            while let Ok((mut records, asked)) = jobs.recv() {
-                let mut waiting = vec![asked];
-                while let Ok((more, asked)) = jobs.try_recv() {
-                    records.extend(more);
-                    waiting.push(asked);
+        std::thread::Builder::new()
+            .name("disk".into())
+            .spawn(move || {
+                while let Ok((mut records, asked)) = jobs.recv() {
+                    let mut waiting = vec![asked];
+                    while let Ok((more, asked)) = jobs.try_recv() {
+                        records.extend(more);
+                        waiting.push(asked);
+                    }
+                    let kept = cache.write(&records);
+                    if let Err(e) = &kept {
+                        log::warn!("disk: Writing failed: {e}.");
+                    }
+                    for asked in waiting {
+                        let _ = asked.send(kept.is_ok());
+                    }
                 }
-                let kept = cache.write(&records);
-                if let Err(e) = &kept {
-                    log::warn!("disk: Writing failed: {e}.");
-                }
-                for asked in waiting {
-                    let _ = asked.send(kept.is_ok());
-                }
-            }
-        })?;
+            })?;
         Ok((Disk(Owner::Thread(queue)), table))
     }
 
--- a/crates/beechcroft-control/src/keeper.rs
+++ b/crates/beechcroft-control/src/keeper.rs
@@ -13,7 +13,8 @@
 use beechcroft_config::{Config, Settings};
 use beechcroft_consensus::proposer::{Action as Step, Answer, Event, OrderId};
 use beechcroft_consensus::{
-    bytes, Ask, Ballot, ConfigStore, Op, Orders, Proposer, Reply, Stage, Value, Voter, CONFIG, ORDERS,
+    bytes, Ask, Ballot, ConfigStore, Op, Orders, Proposer, Reply, Stage, Value, Voter, CONFIG,
+    ORDERS,
 };
 use beechcroft_error::{Fault, Kind};
 use beechcroft_gossip::{Action as News, Cairns, Letter, Member, Quorum, Standing};
@@ -181,10 +182,23 @@
 
 impl Keeper {
     pub fn new(
-        settings: Settings, usual: Usual, voter: Voter, me: Member, salt: u64, table: &Table, disk: Disk,
-        post: Post, errands: Errands, queue: Queue,
+        settings: Settings,
+        usual: Usual,
+        voter: Voter,
+        me: Member,
+        salt: u64,
+        table: &Table,
+        disk: Disk,
+        post: Post,
+        errands: Errands,
+        queue: Queue,
     ) -> Keeper {
-        let cairns = Cairns::new(me, settings.internal_ports[0], settings.seed_nodes.clone(), salt);
+        let cairns = Cairns::new(
+            me,
+            settings.internal_ports[0],
+            settings.seed_nodes.clone(),
+            salt,
+        );
         let proposer = Proposer::new(salt ^ 0x5eed);
         let mut keeper = Keeper {
             fresh: settings.bootstrap && !table.contains_key("identity"),
@@ -236,10 +250,11 @@
         // All of this is only a help: what cannot be read is said, and come by again.
         fn read<T: serde::de::DeserializeOwned + Default>(table: &Table, name: &str) -> T {
             let read = table.get(name).map(|held| bytes::decode(held));
-            read.unwrap_or_else(|| Ok(T::default())).unwrap_or_else(|why| {
-                log::error!("keeper: {name} on disk is left out: {why}.");
-                T::default()
-            })
+            read.unwrap_or_else(|| Ok(T::default()))
+                .unwrap_or_else(|why| {
+                    log::error!("keeper: {name} on disk is left out: {why}.");
+                    T::default()
+                })
         }
         for said in &self.voter.unreadable {
             log::error!(
@@ -247,7 +262,8 @@
             );
         }
         let now = self.now();
-        self.cairns.recall(now, read(table, "members"), read(table, "units"));
+        self.cairns
+            .recall(now, read(table, "members"), read(table, "units"));
         for register in [CONFIG, ORDERS] {
             self.learn(register, read(table, CHOSEN[register]));
         }
@@ -262,7 +278,9 @@
         let mut records = Vec::new();
         if std::mem::take(&mut self.units_new) {
             let units = self.cairns.units.all().map(|unit| unit.note.id.as_str());
-            let notes: Vec<Note> = units.filter_map(|id| self.cairns.units.note(now, id)).collect();
+            let notes: Vec<Note> = units
+                .filter_map(|id| self.cairns.units.note(now, id))
+                .collect();
             records.push(("units".to_owned(), bytes::encode(&notes)));
         }
         if std::mem::take(&mut self.members_new) {
@@ -313,14 +331,24 @@
                 let _ = done.send(());
             }
             Command::Ask(ask, answer) => self.ask(ask, answer),
-            Command::Replied { from, register, ballot, reply } => {
+            Command::Replied {
+                from,
+                register,
+                ballot,
+                reply,
+            } => {
                 if let Reply::Accepted { epochs, .. } | Reply::Refused { epochs, .. } = &reply {
                     self.learn_epochs(epochs);
                 }
                 if let Reply::Accepted { voter_id, .. } = &reply {
                     self.accepted(register, voter_id, ballot);
                 }
-                self.propose(Event::Reply { from, register, ballot, reply });
+                self.propose(Event::Reply {
+                    from,
+                    register,
+                    ballot,
+                    reply,
+                });
             }
             Command::Fenced { epoch, reply } => self.fenced(epoch, reply),
             Command::Known { from, told, reply } => self.known(from, told, reply),
@@ -335,7 +363,12 @@
             Command::Order { answer, .. } if self.is_over(now) => {
                 let _ = answer.send(Err(Fault::new(Kind::Leaving, "this machine leaves")));
             }
-            Command::Order { register, op, read, answer } => match self.may_order(now, &op) {
+            Command::Order {
+                register,
+                op,
+                read,
+                answer,
+            } => match self.may_order(now, &op) {
                 Ok(()) => self.asked(register, op, read, answer),
                 Err(fault) => drop(answer.send(Err(fault))),
             },
@@ -349,7 +382,11 @@
             }
             Command::Revisions(answer) => self.revisions(now, answer),
             Command::RevisionsRead => self.revisions_read(),
-            Command::Resolve { region, zone, answer } => {
+            Command::Resolve {
+                region,
+                zone,
+                answer,
+            } => {
                 let _ = answer.send(self.resolve(now, &region, &zone));
             }
             Command::Why(unit, answer) => drop(answer.send(self.why(&unit))),
@@ -375,9 +412,11 @@
         for action in news {
             match action {
                 News::Send { to, letter } => self.post.send(to, &letter),
-                News::Pull { from, register, revision }
-                    if now >= self.pulling[register] && revision > self.held[register].revision =>
-                {
+                News::Pull {
+                    from,
+                    register,
+                    revision,
+                } if now >= self.pulling[register] && revision > self.held[register].revision => {
                     self.pulling[register] = now + COPY_WITHIN.as_millis() as u64 / 2;
                     let (errands, queue) = (self.errands.clone(), self.queue.clone());
                     spawn_local(async move {
@@ -387,7 +426,11 @@
                         }
                     });
                 }
-                News::Seen(word) => self.benches.entry(word.service.clone()).or_default().hear(&word),
+                News::Seen(word) => self
+                    .benches
+                    .entry(word.service.clone())
+                    .or_default()
+                    .hear(&word),
                 News::Unit(_) => self.units_new = true,
                 News::Members => self.members_new = true,
                 _ => {}
@@ -452,16 +495,26 @@
 
     fn order_until(&mut self, register: usize, op: Op, until: u64) {
         self.next_order += 1;
-        self.propose(Event::Order { id: self.next_order, register, op, until });
+        self.propose(Event::Order {
+            id: self.next_order,
+            register,
+            op,
+            until,
+        });
     }
 
     /// Orders whose callers have gone are not begun.
     fn withdraw(&mut self) {
-        let gone = self.answers.iter().filter(|(_, answer)| answer.is_closed()).map(|(id, _)| *id);
+        let gone = self
+            .answers
+            .iter()
+            .filter(|(_, answer)| answer.is_closed())
+            .map(|(id, _)| *id);
         for id in gone.collect::<Vec<OrderId>>() {
             self.answers.remove(&id);
             let own = |_: usize| None;
-            self.proposer.on(self.now(), Event::Withdrawn { id }, &own, &mut Vec::new());
+            self.proposer
+                .on(self.now(), Event::Withdrawn { id }, &own, &mut Vec::new());
         }
     }
 
@@ -469,7 +522,12 @@
         self.withdraw();
         let mut steps = Vec::new();
         let (now, voter) = (self.now(), &self.voter);
-        self.proposer.on(now, event, &|register| voter.register(register).accepted.clone(), &mut steps);
+        self.proposer.on(
+            now,
+            event,
+            &|register| voter.register(register).accepted.clone(),
+            &mut steps,
+        );
         for step in steps {
             match step {
                 Step::Ask { to, ask } => self.send_to_voters(to, &ask),
@@ -490,10 +548,15 @@
 
     fn send_to_voters(&mut self, voters: Vec<String>, ask: &Ask) {
         let (register, ballot) = match ask {
-            Ask::Confirm { register, ballot, .. } => (*register, *ballot),
-            Ask::Prepare { register, ballot, .. } | Ask::Accept { register, ballot, .. } => {
-                (*register, *ballot)
+            Ask::Confirm {
+                register, ballot, ..
+            } => (*register, *ballot),
+            Ask::Prepare {
+                register, ballot, ..
             }
+            | Ask::Accept {
+                register, ballot, ..
+            } => (*register, *ballot),
             Ask::Fence { .. } | Ask::Tell { .. } => return,
         };
         let bytes = postcard::to_stdvec(ask).expect("plain data");
@@ -505,15 +568,28 @@
                 self.ask(ask.clone(), answer);
                 spawn_local(async move {
                     if let Ok(reply) = told.await {
-                        let _ = queue.send(Command::Replied { from, register, ballot, reply });
+                        let _ = queue.send(Command::Replied {
+                            from,
+                            register,
+                            ballot,
+                            reply,
+                        });
                     }
                 });
             } else if let Some(to) = self.cairns.member(&holder).map(|m| self.cairns.address(m)) {
                 let (errands, bytes) = (self.errands.clone(), bytes.clone());
                 spawn_local(async move {
                     let reply = errands.run(to, "/ask", bytes, ASK_WITHIN).await;
-                    if let Some(reply) = reply.ok().and_then(|bytes| postcard::from_bytes(&bytes).ok()) {
-                        let _ = queue.send(Command::Replied { from, register, ballot, reply });
+                    if let Some(reply) = reply
+                        .ok()
+                        .and_then(|bytes| postcard::from_bytes(&bytes).ok())
+                    {
+                        let _ = queue.send(Command::Replied {
+                            from,
+                            register,
+                            ballot,
+                            reply,
+                        });
                     }
                 });
             }
@@ -535,7 +611,9 @@
                 config.services
             });
             let services: Vec<Service> = services.collect();
-            let ruled = services.iter().filter_map(|s| Some((s.name.clone(), s.unfit.clone()?)));
+            let ruled = services
+                .iter()
+                .filter_map(|s| Some((s.name.clone(), s.unfit.clone()?)));
             self.unfit = ruled.collect();
             self.services = services.into_iter().map(|s| s.name).collect();
         } else {
@@ -566,17 +644,27 @@
             // What this voter has accepted, and does not know to be chosen, a round confirms or replaces. Rounds of
             // all huts at once would only meet: one at a time looks, in the order of their names.
             let me = self.cairns.me.name.as_str();
-            let before = self.cairns.alive().filter(|m| m.core && m.name.as_str() < me).count() as u64;
+            let before = self
+                .cairns
+                .alive()
+                .filter(|m| m.core && m.name.as_str() < me)
+                .count() as u64;
             let first = self.read_at == 0;
-            self.read_at =
-                now + if first { 1 + before * READ_APART_MS } else { ORDER_MS + before * READ_APART_MS };
+            self.read_at = now
+                + if first {
+                    1 + before * READ_APART_MS
+                } else {
+                    ORDER_MS + before * READ_APART_MS
+                };
             let behind = |register: &usize| {
                 let accepted = self.voter.register(*register).accepted.as_ref();
                 accepted.is_some_and(|(_, value)| value.revision > self.held[*register].revision)
             };
             let behind: Vec<usize> = [CONFIG, ORDERS].into_iter().filter(behind).collect();
             if !first {
-                behind.into_iter().for_each(|register| self.order(register, Op::Read));
+                behind
+                    .into_iter()
+                    .for_each(|register| self.order(register, Op::Read));
             }
         }
         if now >= self.conduct_at {
--- a/crates/beechcroft-control/src/keeper/contact.rs
+++ b/crates/beechcroft-control/src/keeper/contact.rs
@@ -26,7 +26,10 @@
 }
 
 pub(super) fn out_of_touch() -> Fault {
-    Fault::new(Kind::OutOfTouch, "this hut does not reach a majority of the core; another one may")
+    Fault::new(
+        Kind::OutOfTouch,
+        "this hut does not reach a majority of the core; another one may",
+    )
 }
 
 impl Keeper {
@@ -38,17 +41,27 @@
         self.quorum_at = now + LOOK_EVERY_MS;
         let me = &self.cairns.me.name;
         let holder = |epochs: &beechcroft_consensus::Epochs, voter_id: &String| {
-            epochs.get(voter_id).map_or_else(|| voter_id.clone(), |(_, holder)| holder.clone())
+            epochs
+                .get(voter_id)
+                .map_or_else(|| voter_id.clone(), |(_, holder)| holder.clone())
         };
         let (machines, all, votes): (BTreeSet<String>, usize, bool) =
             match (&self.voter.identity, self.memberships.told()) {
                 (Some(identity), _) => {
-                    let holders = identity.voters.iter().map(|voter_id| holder(&identity.epochs, voter_id));
+                    let holders = identity
+                        .voters
+                        .iter()
+                        .map(|voter_id| holder(&identity.epochs, voter_id));
                     (holders.collect(), identity.voters.len(), true)
                 }
-                (None, Some((voters, epochs))) => {
-                    (voters.iter().map(|voter_id| holder(epochs, voter_id)).collect(), voters.len(), false)
-                }
+                (None, Some((voters, epochs))) => (
+                    voters
+                        .iter()
+                        .map(|voter_id| holder(epochs, voter_id))
+                        .collect(),
+                    voters.len(),
+                    false,
+                ),
                 // Voters are not known: among the machines that may be some, a majority of as many as there will be.
                 (None, None) => {
                     let known = self.cairns.known().filter(|m| m.core && m.quorum);
@@ -60,8 +73,12 @@
                 }
             };
         let others = machines.into_iter().filter(|name| name != me).collect();
-        self.quorum = Quorum { others, need: (all / 2 + 1).saturating_sub(usize::from(votes)) };
-        self.held_widely.retain(|id, _| self.cairns.units.get(id).is_some());
+        self.quorum = Quorum {
+            others,
+            need: (all / 2 + 1).saturating_sub(usize::from(votes)),
+        };
+        self.held_widely
+            .retain(|id, _| self.cairns.units.get(id).is_some());
     }
 
     pub(super) fn in_contact(&self, now: u64) -> bool {
@@ -96,7 +113,13 @@
         }
     }
 
-    pub(super) fn beat(&mut self, now: u64, note: Note, done: oneshot::Sender<Done>, news: &mut Vec<News>) {
+    pub(super) fn beat(
+        &mut self,
+        now: u64,
+        note: Note,
+        done: oneshot::Sender<Done>,
+        news: &mut Vec<News>,
+    ) {
         if let Err(fault) = self.may_serve(now) {
             let _ = done.send(Err(fault));
             return;
@@ -115,7 +138,11 @@
     }
 
     pub(super) fn deregister(
-        &mut self, now: u64, id: &str, done: oneshot::Sender<Done>, news: &mut Vec<News>,
+        &mut self,
+        now: u64,
+        id: &str,
+        done: oneshot::Sender<Done>,
+        news: &mut Vec<News>,
     ) {
         if let Err(fault) = self.may_serve(now) {
             let _ = done.send(Err(fault));
@@ -128,19 +155,39 @@
     /// A drain or an end is acknowledged once a majority of the core machines holds it, this one among them if it votes: then
     /// every edge that is in touch with the core hears of it, whichever machines are lost or cut off afterwards.
     fn tell_majority(
-        &mut self, now: u64, id: &str, state: State, done: oneshot::Sender<Done>, news: &mut Vec<News>,
+        &mut self,
+        now: u64,
+        id: &str,
+        state: State,
+        done: oneshot::Sender<Done>,
+        news: &mut Vec<News>,
     ) {
-        let need = if stands(Guard::DrainHeldByMajority) { self.quorum.need } else { 0 };
+        let need = if stands(Guard::DrainHeldByMajority) {
+            self.quorum.need
+        } else {
+            0
+        };
         let known = self.held_widely.get(id).is_some_and(|held| *held >= state);
-        let Some(note) = self.cairns.units.note(now, id).filter(|_| !known && need > 0) else {
+        let Some(note) = self
+            .cairns
+            .units
+            .note(now, id)
+            .filter(|_| !known && need > 0)
+        else {
             let _ = done.send(Ok(()));
             return;
         };
         self.cairns.hurry(now, news);
         let state = note.state;
-        let Ok(bytes) = postcard::to_stdvec(&note) else { return };
+        let Ok(bytes) = postcard::to_stdvec(&note) else {
+            return;
+        };
         let (told, mut heard) = mpsc::unbounded_channel();
-        let members = self.quorum.others.iter().filter_map(|name| self.cairns.member(name));
+        let members = self
+            .quorum
+            .others
+            .iter()
+            .filter_map(|name| self.cairns.member(name));
         for to in members.map(|member| self.cairns.address(member)) {
             let (errands, bytes, told) = (self.errands.clone(), bytes.clone(), told.clone());
             spawn_local(async move {
@@ -161,7 +208,10 @@
                 Ok(())
             } else {
                 // Some may hold it, and it may still go round: no promise that nothing was done.
-                Err(Fault::new(Kind::NoMajority, "no majority of the core holds it yet"))
+                Err(Fault::new(
+                    Kind::NoMajority,
+                    "no majority of the core holds it yet",
+                ))
             };
             let _ = done.send(answer);
         });
@@ -230,11 +280,16 @@
         let contact = self.in_contact(now);
         let heard = |m: &&Member| contact || fresh(self.cairns.heard_of(&m.name), EDGE_HEARD_MS);
         let ready = || {
-            let ready = self.cairns.alive().filter(|m| m.standing == Standing::Ready && m.ingress.is_some());
+            let ready = self
+                .cairns
+                .alive()
+                .filter(|m| m.standing == Standing::Ready && m.ingress.is_some());
             ready.filter(heard)
         };
-        let mut found: Vec<SocketAddrV4> =
-            ready().filter(|m| m.region == region).filter_map(|m| m.ingress).collect();
+        let mut found: Vec<SocketAddrV4> = ready()
+            .filter(|m| m.region == region)
+            .filter_map(|m| m.ingress)
+            .collect();
         if found.is_empty() {
             found = ready().filter_map(|m| m.ingress).collect();
         }
--- a/crates/beechcroft-control/src/main.rs
+++ b/crates/beechcroft-control/src/main.rs
@@ -47,7 +47,10 @@
     let done = match flags::Hut::from_env_or_exit().subcommand {
         flags::HutCmd::Run(run) => run_program(
             run.log.as_deref().unwrap_or("warn"),
-            Usual { verdicts: run.verdicts, ..Usual::default() },
+            Usual {
+                verdicts: run.verdicts,
+                ..Usual::default()
+            },
         ),
         flags::HutCmd::Check(check) => lifecycle::check(&check.file),
         flags::HutCmd::Show(show) => show_state(&show.what),
@@ -63,14 +66,25 @@
 }
 
 fn runtime() -> Result<tokio::runtime::Runtime, String> {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|e| e.to_string())
 }
 
 /// Asks a running hut and prints what it says.
 fn ask_hut(at: &str, path: &str, body: Vec<u8>) -> Result<(), String> {
-    let at = at.parse::<SocketAddrV4>().map_err(|e| format!("{at}: {e}"))?;
-    let asked = async { Errands::default().run(at, path, body, Duration::from_secs(3)).await };
-    let text = runtime()?.block_on(asked).map_err(|fault| fault.to_string())?;
+    let at = at
+        .parse::<SocketAddrV4>()
+        .map_err(|e| format!("{at}: {e}"))?;
+    let asked = async {
+        Errands::default()
+            .run(at, path, body, Duration::from_secs(3))
+            .await
+    };
+    let text = runtime()?
+        .block_on(asked)
+        .map_err(|fault| fault.to_string())?;
     print!("{}", String::from_utf8_lossy(&text));
     Ok(())
 }
@@ -82,15 +96,25 @@
     let folder = std::path::Path::new(what);
     std::fs::read_dir(folder).map_err(|e| format!("{what}: {e}"))?;
     let (table, damage) = beechcroft_storage::Cache::peek(folder);
-    damage.places().iter().for_each(|place| println!("damage: {place}"));
+    damage
+        .places()
+        .iter()
+        .for_each(|place| println!("damage: {place}"));
     let voter = Voter::new("", 0, 0, &table);
-    voter.unreadable.iter().for_each(|said| println!("unreadable: {said}"));
+    voter
+        .unreadable
+        .iter()
+        .for_each(|said| println!("unreadable: {said}"));
     println!("identity {:?}", voter.identity);
     for register in [beechcroft_consensus::CONFIG, beechcroft_consensus::ORDERS] {
         let held = voter.register(register);
         println!("register {register} promised {:?}", held.promised);
         if let Some((ballot, value)) = &held.accepted {
-            println!("  accepted under {ballot:?}, change {}, {} bytes", value.revision, value.bytes.len());
+            println!(
+                "  accepted under {ballot:?}, change {}, {} bytes",
+                value.revision,
+                value.bytes.len()
+            );
         }
     }
     Ok(())
@@ -103,7 +127,10 @@
     let settings = Settings::load()?;
     runtime()?.block_on(tokio::task::LocalSet::new().run_until(async move {
         let outside = Outside::machine(&settings);
-        let folder = settings.data_dir.clone().ok_or("dataDir: a hut needs a folder for its state")?;
+        let folder = settings
+            .data_dir
+            .clone()
+            .ok_or("dataDir: a hut needs a folder for its state")?;
         let (disk, table) = Disk::open(folder).map_err(|e| e.to_string())?;
         run(settings, usual, outside, disk, table).await
     }))
--- a/crates/beechcroft-control/src/run.rs
+++ b/crates/beechcroft-control/src/run.rs
@@ -22,12 +22,21 @@
 
 /// Runs until it is told to leave. `table`: what the disk held.
 pub async fn run(
-    settings: Settings, usual: Usual, outside: Outside, disk: Disk, table: Table,
+    settings: Settings,
+    usual: Usual,
+    outside: Outside,
+    disk: Disk,
+    table: Table,
 ) -> Result<(), String> {
     let said = |e: std::io::Error| e.to_string();
-    let Outside { ground, mut term, seeds } = outside;
+    let Outside {
+        ground,
+        mut term,
+        seeds,
+    } = outside;
     let incarnation = ground.wall().as_millis() as u64;
-    let salt: u64 = incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(u32::from(settings.ip)) << 20;
+    let salt: u64 =
+        incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(u32::from(settings.ip)) << 20;
     let me = Member {
         name: settings.node_name.clone(),
         ip: settings.ip,
@@ -64,25 +73,46 @@
     let mut desks = Vec::new();
     if let Some(at) = settings.listen.control {
         let repeat_ms = settings.bounds.ack_ms + desks::CLOCKS_APART_MS;
-        let control = desks::Control { queue: queue.clone(), ground: ground.clone(), repeat_ms };
-        desks.push(spawn_local(desk::serve(ground.clone(), at, Bounds::default(), move |call| {
-            desks::control(control.clone(), call)
-        })));
+        let control = desks::Control {
+            queue: queue.clone(),
+            ground: ground.clone(),
+            repeat_ms,
+        };
+        desks.push(spawn_local(desk::serve(
+            ground.clone(),
+            at,
+            Bounds::default(),
+            move |call| desks::control(control.clone(), call),
+        )));
     }
     if let Some(at) = settings.listen.directory {
         let queue = queue.clone();
-        desks.push(spawn_local(desk::serve(ground.clone(), at, Bounds::default(), move |call| {
-            desks::directory(queue.clone(), ttl_s, call)
-        })));
+        desks.push(spawn_local(desk::serve(
+            ground.clone(),
+            at,
+            Bounds::default(),
+            move |call| desks::directory(queue.clone(), ttl_s, call),
+        )));
     }
     let inner = queue.clone();
-    desks.push(spawn_local(desk::serve(ground.clone(), inside, Bounds::default(), move |call| {
-        desks::relays(inner.clone(), call)
-    })));
+    desks.push(spawn_local(desk::serve(
+        ground.clone(),
+        inside,
+        Bounds::default(),
+        move |call| desks::relays(inner.clone(), call),
+    )));
 
     let every = Duration::from_millis(40);
     let tick = || Command::Tick;
-    lifecycle::feed(post, every, queue, Command::Letter, tick, seeds, Command::Seeds);
+    lifecycle::feed(
+        post,
+        every,
+        queue,
+        Command::Letter,
+        tick,
+        seeds,
+        Command::Seeds,
+    );
     loop {
         tokio::select! {
             biased;
--- a/crates/beechcroft-core/src/lib.rs
+++ b/crates/beechcroft-core/src/lib.rs
@@ -7,7 +7,9 @@
 pub mod tasks;
 mod timers;
 
-use beechcroft::{BuildId, DispatchNo, Outcome, PeerId, Phase, Stage, TaskId, TrackId, UnitId, Vote};
+use beechcroft::{
+    BuildId, DispatchNo, Outcome, PeerId, Phase, Stage, TaskId, TrackId, UnitId, Vote,
+};
 use call::{Call, Reply};
 use list::{List, Listing};
 use std::sync::Arc;
--- a/crates/beechcroft-core/src/module.rs
+++ b/crates/beechcroft-core/src/module.rs
@@ -23,8 +23,13 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { began: Instant::now(), unix }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            began: Instant::now(),
+            unix,
+        }
     }
 
     fn at(&self, instant: Instant) -> Duration {
@@ -47,16 +52,31 @@
 impl<C: Carrier> Actions for Hands<C> {
     fn dispatch(&mut self, task: &TaskId, unit: &UnitId, time_out: Duration) {
         let (task, known) = (task.clone(), self.known.get(unit));
-        let Some((no, call)) = self.tasks.sent(&task, known) else { return };
+        let Some((no, call)) = self.tasks.sent(&task, known) else {
+            return;
+        };
         match known {
             Some(unit) => {
-                let dispatch = Dispatch { task, no, call, at: self.now, time_out };
+                let dispatch = Dispatch {
+                    task,
+                    no,
+                    call,
+                    at: self.now,
+                    time_out,
+                };
                 self.carrier.send(unit, ToUnit::Dispatch(dispatch));
             }
             None => {
                 warn!(task = %task.0, unit = %unit.0, "dispatch of {} to {}, which is not listed", task.0, unit.0);
                 let (outcome, spent) = (Outcome::Moot, Duration::ZERO);
-                let ended = Event::Ended(Ended { task, no, outcome, reply: None, spent, held: None });
+                let ended = Event::Ended(Ended {
+                    task,
+                    no,
+                    outcome,
+                    reply: None,
+                    spent,
+                    held: None,
+                });
                 if let Some(mailbox) = self.mailbox.upgrade() {
                     let _ = mailbox.send(ended);
                 }
@@ -71,7 +91,8 @@
     }
     fn abandon(&mut self, task: &TaskId, dispatch: DispatchNo) {
         if let Some(unit) = self.tasks.out(task, dispatch) {
-            self.carrier.send(unit, ToUnit::Abandon(task.clone(), dispatch));
+            self.carrier
+                .send(unit, ToUnit::Abandon(task.clone(), dispatch));
         }
     }
     fn tell(&mut self, peer: Option<PeerId>, payload: &[u8]) {
@@ -100,7 +121,11 @@
 impl<C: Carrier> ModuleActor<C> {
     /// `mailbox` is the one whose events it will run on.
     pub fn start(
-        settings: &Settings, seed: u64, clock: Clock, carrier: C, mailbox: Mailbox,
+        settings: &Settings,
+        seed: u64,
+        clock: Clock,
+        carrier: C,
+        mailbox: Mailbox,
     ) -> ModuleActor<C> {
         let mut hands = Hands {
             carrier,
@@ -111,14 +136,22 @@
             now: Instant::now(),
         };
         let relay = Relay::start(settings, seed, clock.at(hands.now), &mut hands);
-        ModuleActor { relay, clock, hands }
+        ModuleActor {
+            relay,
+            clock,
+            hands,
+        }
     }
 
     /// Until nobody is left who could tell it anything.
     pub async fn run(mut self, mut events: mpsc::UnboundedReceiver<Event>) {
         loop {
             self.wake();
-            let next = self.hands.timers.next().unwrap_or_else(|| Instant::now() + Duration::from_secs(1));
+            let next = self
+                .hands
+                .timers
+                .next()
+                .unwrap_or_else(|| Instant::now() + Duration::from_secs(1));
             tokio::select! {
                 biased;
                 event = events.recv() => match event {
@@ -151,7 +184,15 @@
                 let (id, track, hints) = (taken.id.clone(), taken.track, taken.hints);
                 let left = taken.abandon_at.saturating_duration_since(hands.now);
                 match hands.tasks.take(taken) {
-                    Ok(()) => relay.task_taken(id, track, hints.tenant, hints.key, left, hints.work, hands),
+                    Ok(()) => relay.task_taken(
+                        id,
+                        track,
+                        hints.tenant,
+                        hints.key,
+                        left,
+                        hints.work,
+                        hands,
+                    ),
                     Err(twin) => {
                         warn!(task = %twin.id.0, "task {} is open already, the second was not taken", twin.id.0)
                     }
@@ -162,8 +203,16 @@
                     relay.client_left(&task, hands);
                 }
             }
-            Event::Ended(Ended { task, no, outcome, reply, spent, held }) => {
-                held.into_iter().for_each(|held| relay.load_told(&task, no, held));
+            Event::Ended(Ended {
+                task,
+                no,
+                outcome,
+                reply,
+                spent,
+                held,
+            }) => {
+                held.into_iter()
+                    .for_each(|held| relay.load_told(&task, no, held));
                 if let Some(reply) = reply {
                     hands.tasks.answer(&task, Answer::Handled(reply));
                 }
@@ -182,22 +231,39 @@
         }
     }
 
-    fn news(&mut self, News { build, stage, phase, cap }: News) {
-        self.relay.build_news(build, stage, phase, cap, &mut self.hands);
+    fn news(
+        &mut self,
+        News {
+            build,
+            stage,
+            phase,
+            cap,
+        }: News,
+    ) {
+        self.relay
+            .build_news(build, stage, phase, cap, &mut self.hands);
     }
 
     /// Tells the module of the list, and each unit's actor of its own entry.
     fn list(&mut self, list: List) {
         let fleet = self.relay.list();
         fleet.begins(list.whole);
-        let mut before = if list.whole { std::mem::take(&mut self.hands.known) } else { HashMap::new() };
+        let mut before = if list.whole {
+            std::mem::take(&mut self.hands.known)
+        } else {
+            HashMap::new()
+        };
         for entry in list.entries {
-            let known = before.remove(&entry.unit).or_else(|| self.hands.known.remove(&entry.unit));
+            let known = before
+                .remove(&entry.unit)
+                .or_else(|| self.hands.known.remove(&entry.unit));
             match (known, entry.health) {
                 (Some(unit), Health::Gone) => self.hands.carrier.send(&unit, ToUnit::Gone),
                 (None, Health::Gone) => {}
                 (Some(unit), _) => {
-                    self.hands.carrier.send(&unit, ToUnit::Listed(entry.listing));
+                    self.hands
+                        .carrier
+                        .send(&unit, ToUnit::Listed(entry.listing));
                     self.hands.known.insert(entry.unit.clone(), unit);
                 }
                 (None, _) => {
@@ -218,6 +284,8 @@
         }
         fleet.ends();
         // What a whole list leaves out is gone.
-        before.into_values().for_each(|unit| self.hands.carrier.send(&unit, ToUnit::Gone));
+        before
+            .into_values()
+            .for_each(|unit| self.hands.carrier.send(&unit, ToUnit::Gone));
     }
 }
--- a/crates/beechcroft-core/src/tasks.rs
+++ b/crates/beechcroft-core/src/tasks.rs
@@ -47,7 +47,12 @@
         if self.0.contains_key(&taken.id) {
             return Err(taken);
         }
-        let open = Open { call: taken.call, answer: Some(taken.answer), tries: 0, out: None };
+        let open = Open {
+            call: taken.call,
+            answer: Some(taken.answer),
+            tries: 0,
+            out: None,
+        };
         self.0.insert(taken.id, open);
         Ok(())
     }
@@ -72,7 +77,9 @@
     /// A client that waited for this id left; whether it was the task's own, and not one that asked for an open
     /// id. No answer is owed any more.
     pub fn left(&mut self, id: &TaskId) -> bool {
-        let Some(open) = self.0.get_mut(id) else { return false };
+        let Some(open) = self.0.get_mut(id) else {
+            return false;
+        };
         let own = open.answer.take_if(|answer| answer.is_closed()).is_some();
         self.forget_if_done(id);
         own
@@ -80,7 +87,9 @@
 
     /// A dispatch ended; whether the task is settled.
     pub fn ended(&mut self, id: &TaskId, no: DispatchNo) -> bool {
-        let Some(open) = self.0.get_mut(id) else { return true };
+        let Some(open) = self.0.get_mut(id) else {
+            return true;
+        };
         open.out.take_if(|(out, _)| *out == no);
         let settled = open.answer.is_none();
         self.forget_if_done(id);
@@ -90,11 +99,16 @@
     /// Where a dispatch is out.
     pub fn out(&self, id: &TaskId, no: DispatchNo) -> Option<&U> {
         let out = self.0.get(id)?.out.as_ref();
-        out.filter(|(out, _)| *out == no).and_then(|(_, unit)| unit.as_ref())
+        out.filter(|(out, _)| *out == no)
+            .and_then(|(_, unit)| unit.as_ref())
     }
 
     fn forget_if_done(&mut self, id: &TaskId) {
-        if self.0.get(id).is_some_and(|open| open.answer.is_none() && open.out.is_none()) {
+        if self
+            .0
+            .get(id)
+            .is_some_and(|open| open.answer.is_none() && open.out.is_none())
+        {
             self.0.remove(id);
         }
     }
--- a/crates/beechcroft-core/src/timers.rs
+++ b/crates/beechcroft-core/src/timers.rs
@@ -21,7 +21,10 @@
     }
 
     pub fn take_due(&mut self, now: Instant) -> Option<Token> {
-        let first = self.due.first_entry().filter(|first| first.key().0 <= now)?;
+        let first = self
+            .due
+            .first_entry()
+            .filter(|first| first.key().0 <= now)?;
         Some(first.remove())
     }
 }
--- a/crates/beechcroft-error/src/lib.rs
+++ b/crates/beechcroft-error/src/lib.rs
@@ -69,7 +69,12 @@
             Kind::BodyTooLarge => 413,
             Kind::HeadTooLarge => 431,
             Kind::Lost => 502,
-            Kind::NoUnit | Kind::Full | Kind::NotYet | Kind::Leaving | Kind::OutOfTouch | Kind::Moving => 503,
+            Kind::NoUnit
+            | Kind::Full
+            | Kind::NotYet
+            | Kind::Leaving
+            | Kind::OutOfTouch
+            | Kind::Moving => 503,
             Kind::StoodStill | Kind::CallerGone | Kind::Unreadable => 503,
             Kind::TimeOver | Kind::NoMajority | Kind::Forgotten => 504,
         }
@@ -92,7 +97,10 @@
 
 impl Fault {
     pub fn new(kind: Kind, said: impl Into<String>) -> Fault {
-        Fault { kind, said: said.into() }
+        Fault {
+            kind,
+            said: said.into(),
+        }
     }
 }
 
--- a/crates/beechcroft-fleet/src/held.rs
+++ b/crates/beechcroft-fleet/src/held.rs
@@ -26,7 +26,9 @@
 impl Held {
     /// How many it holds now, where those like it hold `usual`.
     pub fn now(&self, now: Duration, usual: f64) -> f64 {
-        let Some((told, at)) = self.told else { return usual };
+        let Some((told, at)) = self.told else {
+            return usual;
+        };
         let age = now.saturating_sub(at).as_secs_f64() / FADE.as_secs_f64();
         usual + (told - usual) * (-age).exp()
     }
--- a/crates/beechcroft-fleet/src/turns.rs
+++ b/crates/beechcroft-fleet/src/turns.rs
@@ -36,7 +36,12 @@
 
 impl Turns {
     pub fn new(place: u32, relays: u32, per_s: f64, needed: u32) -> Turns {
-        Turns { place, relays, per_s: per_s.max(0.1), needed }
+        Turns {
+            place,
+            relays,
+            per_s: per_s.max(0.1),
+            needed,
+        }
     }
 
     /// Whether the service takes a call of every relay at once. Then nobody needs a turn: a wish is called as it comes
@@ -57,7 +62,8 @@
 
     /// Places from this one on speak last: without them the needed voices are not there.
     fn first_last(&self) -> u32 {
-        self.needed.saturating_sub((self.per_s * RESERVE_S).ceil() as u32)
+        self.needed
+            .saturating_sub((self.per_s * RESERVE_S).ceil() as u32)
     }
 
     /// Whether this relay may speak before the matter is settled: a round takes long, and those who speak last decide.
@@ -84,38 +90,75 @@
     /// This relay's turn for a call that stands for `life`. Its round began at a time, perhaps behind another one; the
     /// matter is settled since a further time, or not yet. Where that is past the life of the round's first calls, a fresh
     /// one begins with the settling: what was said before is then said again.
-    pub fn forward(&self, began: Duration, behind: bool, settled: Option<Duration>, life: Duration) -> Turn {
+    pub fn forward(
+        &self,
+        began: Duration,
+        behind: bool,
+        settled: Option<Duration>,
+        life: Duration,
+    ) -> Turn {
         if self.is_small() {
-            return Turn { at: settled.unwrap_or(began), anew: Duration::ZERO };
+            return Turn {
+                at: settled.unwrap_or(began),
+                anew: Duration::ZERO,
+            };
         }
-        let began = if behind { began + self.rest(life) } else { began };
+        let began = if behind {
+            began + self.rest(life)
+        } else {
+            began
+        };
         let in_line = self.line(f64::from(self.place) - self.per_s * BURST_S, PACE);
-        let Some(settled) = settled else { return Turn { at: began + in_line, anew: Duration::ZERO } };
+        let Some(settled) = settled else {
+            return Turn {
+                at: began + in_line,
+                anew: Duration::ZERO,
+            };
+        };
         if settled + SPREAD > began + life {
-            return Turn { at: settled + in_line, anew: settled };
+            return Turn {
+                at: settled + in_line,
+                anew: settled,
+            };
         }
         let at = if self.is_early() {
             began + in_line
         } else {
             (began + in_line).max(settled + self.behind_early())
         };
-        Turn { at, anew: Duration::ZERO }
+        Turn {
+            at,
+            anew: Duration::ZERO,
+        }
     }
 
     /// The same for what cannot wait.
     pub fn in_haste(&self, wished: Duration) -> Turn {
         let in_line = self.line(f64::from(self.place) - self.per_s * BURST_S * HASTE, HASTE);
-        Turn { at: wished + in_line, anew: Duration::ZERO }
+        Turn {
+            at: wished + in_line,
+            anew: Duration::ZERO,
+        }
     }
 
     /// When a call is taken back that is wished no more. Those who spoke early let theirs stand, as nothing comes of them
     /// alone; the others go in line, so that a matter that wavers costs no call.
     pub fn back(&self, wished: Duration) -> Turn {
         if self.is_small() {
-            return Turn { at: wished, anew: Duration::ZERO };
+            return Turn {
+                at: wished,
+                anew: Duration::ZERO,
+            };
+        }
+        let at = if self.is_early() {
+            Duration::MAX
+        } else {
+            wished + self.behind_early().max(SETTLE)
+        };
+        Turn {
+            at,
+            anew: Duration::ZERO,
         }
-        let at = if self.is_early() { Duration::MAX } else { wished + self.behind_early().max(SETTLE) };
-        Turn { at, anew: Duration::ZERO }
     }
 
     /// How long a relay waits that was refused so many times in a row; `draw` is from 0 to 1. A round of all is enough.
@@ -135,8 +178,13 @@
         if self.is_small() {
             return life.mul_f64(part);
         }
-        let voices = if self.needed > 0 { self.needed } else { self.relays };
-        life.mul_f64(part).max(Duration::from_secs_f64(f64::from(voices) / self.per_s))
+        let voices = if self.needed > 0 {
+            self.needed
+        } else {
+            self.relays
+        };
+        life.mul_f64(part)
+            .max(Duration::from_secs_f64(f64::from(voices) / self.per_s))
     }
 }
 
@@ -177,14 +225,25 @@
 impl<W> Default for Voice<W> {
     fn default() -> Voice<W> {
         let at = Duration::ZERO;
-        Voice { wish: None, wished: at, settled: None, said: None, at, state: State::Silent, refused: 0 }
+        Voice {
+            wish: None,
+            wished: at,
+            settled: None,
+            said: None,
+            at,
+            state: State::Silent,
+            refused: 0,
+        }
     }
 }
 
 impl<W: Copy + PartialEq> Voice<W> {
     /// The matter changed: what was said of the former one holds no more. No call follows another any faster for it.
     pub fn forget(&mut self) {
-        *self = Voice { at: self.at, ..Voice::default() };
+        *self = Voice {
+            at: self.at,
+            ..Voice::default()
+        };
     }
 
     /// Notes a wish; none where nothing is to be called for. Since when it is wished.
@@ -205,14 +264,23 @@
 
     /// Whether the call is to be made now, its turn being given. It is one if the wish differs from what was said, was
     /// refused or has to be renewed; none is made while one waits for its answer, nor sooner than `gap` after another.
-    pub fn is_due(&self, turn: Turn, now: Duration, wait: Duration, gap: Duration, renew: Duration) -> bool {
+    pub fn is_due(
+        &self,
+        turn: Turn,
+        now: Duration,
+        wait: Duration,
+        gap: Duration,
+        renew: Duration,
+    ) -> bool {
         let since = now.saturating_sub(self.at);
         if since < gap || self.state == State::Asked && since < wait {
             return false;
         }
         match self.state {
             State::Refused(until) if self.wish == self.said => now >= until,
-            _ if self.wish != self.said || self.wish.is_some() && self.at < turn.anew => now >= turn.at,
+            _ if self.wish != self.said || self.wish.is_some() && self.at < turn.anew => {
+                now >= turn.at
+            }
             State::Stands => self.wish.is_some() && since >= renew,
             State::Asked | State::Silent | State::Refused(_) => self.wish.is_some(), // the answer was lost
         }
--- a/crates/beechcroft-gossip/src/contact.rs
+++ b/crates/beechcroft-gossip/src/contact.rs
@@ -46,7 +46,10 @@
 impl Contact {
     /// `from`: a number drawn by each process, so that an answer to a former process answers nothing.
     pub fn new(from: u32) -> Contact {
-        Contact { next: from, ..Contact::default() }
+        Contact {
+            next: from,
+            ..Contact::default()
+        }
     }
 
     /// The machines that are to be pinged now, and the number of that ping.
@@ -57,7 +60,11 @@
             Some(held) if now.saturating_sub(held.at) <= 2 * PING_MS => PING_MS,
             _ => AGAIN_MS,
         };
-        let is_due = |name: &&String| self.pinged.get(*name).is_none_or(|at| now >= at + wait(name));
+        let is_due = |name: &&String| {
+            self.pinged
+                .get(*name)
+                .is_none_or(|at| now >= at + wait(name))
+        };
         let due: Vec<String> = quorum.others.iter().filter(is_due).cloned().collect();
         if due.is_empty() {
             return (self.next, due);
@@ -75,30 +82,52 @@
 
     /// A machine answers a ping.
     pub fn answered(&mut self, name: &str, number: u32, contact: bool) {
-        let Some(&(_, at)) = self.sent.iter().find(|(sent, _)| *sent == number) else { return };
+        let Some(&(_, at)) = self.sent.iter().find(|(sent, _)| *sent == number) else {
+            return;
+        };
         if !self.pinged.contains_key(name) {
             return;
         }
         if self.answered.get(name).is_none_or(|held| held.at <= at) {
-            self.answered.insert(name.to_owned(), Answered { at, contact });
+            self.answered
+                .insert(name.to_owned(), Answered { at, contact });
         }
     }
 
     /// A letter has come that answers nothing: no evidence while the guard stands.
     pub fn heard(&mut self, now: u64, name: &str) {
         if !stands(Guard::TwoWayContact) {
-            self.answered.insert(name.to_owned(), Answered { at: now, contact: true });
+            self.answered.insert(
+                name.to_owned(),
+                Answered {
+                    at: now,
+                    contact: true,
+                },
+            );
         }
     }
 
-    fn reached<'a>(&'a self, now: u64, quorum: &'a Quorum) -> impl Iterator<Item = (&'a String, Answered)> {
-        let answers = quorum.others.iter().filter_map(|name| Some((name, *self.answered.get(name)?)));
+    fn reached<'a>(
+        &'a self,
+        now: u64,
+        quorum: &'a Quorum,
+    ) -> impl Iterator<Item = (&'a String, Answered)> {
+        let answers = quorum
+            .others
+            .iter()
+            .filter_map(|name| Some((name, *self.answered.get(name)?)));
         answers.filter(move |(_, held)| now <= held.at.saturating_add(CONTACT_MS))
     }
 
     /// The machines that have answered a ping of late and said that they are in contact themselves.
-    pub fn in_contact<'a>(&'a self, now: u64, quorum: &'a Quorum) -> impl Iterator<Item = &'a String> {
-        self.reached(now, quorum).filter(|(_, held)| held.contact).map(|(name, _)| name)
+    pub fn in_contact<'a>(
+        &'a self,
+        now: u64,
+        quorum: &'a Quorum,
+    ) -> impl Iterator<Item = &'a String> {
+        self.reached(now, quorum)
+            .filter(|(_, held)| held.contact)
+            .map(|(name, _)| name)
     }
 
     pub fn holds(&self, now: u64, quorum: &Quorum) -> bool {
--- a/crates/beechcroft-gossip/src/letter.rs
+++ b/crates/beechcroft-gossip/src/letter.rs
@@ -49,7 +49,9 @@
 
     pub fn digest(&self) -> u32 {
         let rank = self.incarnation ^ (u64::from(self.mark) << 44) ^ ((self.standing as u64) << 60);
-        (rapidhash_v3(self.name.as_bytes()) ^ rank).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29) as u32
+        (rapidhash_v3(self.name.as_bytes()) ^ rank)
+            .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+            .rotate_left(29) as u32
     }
 }
 
@@ -124,7 +126,9 @@
             Item::Unit(n) => 30 + n.id.len() + n.service.len() + n.version.len() + n.zone.len(),
             Item::Beat(b) => 10 + b.id.len(),
             Item::Ping(_) | Item::Pong(..) => 7,
-            Item::Seen(w) => 24 + w.relay.len() + w.region.len() + w.service.len() + 11 * w.units.len(),
+            Item::Seen(w) => {
+                24 + w.relay.len() + w.region.len() + w.service.len() + 11 * w.units.len()
+            }
             Item::Crowd(c) => 24 + c.relay.len() + c.service.len() + 14 * c.word.keys.len(),
             Item::Sign(s) => 40 + s.relay.len() + s.service.len() + 6 * s.units.len(),
         }
@@ -162,8 +166,11 @@
 impl Ranges {
     /// The digests of the whole tables.
     pub fn sums(&self) -> (u32, u32) {
-        let fold =
-            |ranges: &[u32]| ranges.iter().fold(0u32, |sum, &range| sum.rotate_left(5).wrapping_add(range));
+        let fold = |ranges: &[u32]| {
+            ranges
+                .iter()
+                .fold(0u32, |sum, &range| sum.rotate_left(5).wrapping_add(range))
+        };
         (fold(&self.members), fold(&self.units))
     }
 }
--- a/crates/beechcroft-gossip/src/lib.rs
+++ b/crates/beechcroft-gossip/src/lib.rs
@@ -99,7 +99,13 @@
 
 impl Known {
     fn new(now: u64, member: Member) -> Known {
-        Known { member, watched_since: None, answered_at: now, wrote_at: 0, patience_ms: DOWN_MS }
+        Known {
+            member,
+            watched_since: None,
+            answered_at: now,
+            wrote_at: 0,
+            patience_ms: DOWN_MS,
+        }
     }
 }
 
@@ -207,7 +213,10 @@
 
     /// Members that are not down, this relay left out.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
-        self.members.values().map(|known| &known.member).filter(|member| member.standing < Standing::Down)
+        self.members
+            .values()
+            .map(|known| &known.member)
+            .filter(|member| member.standing < Standing::Down)
     }
 
     /// All members, this relay left out.
@@ -248,7 +257,11 @@
     /// Whether this hut is the first by name of those that are in contact, as far as it is told: what one of them is to do
     /// and any may, it does.
     pub fn is_first(&self, now: u64, quorum: &Quorum) -> bool {
-        self.in_contact(now, quorum) && self.contact.in_contact(now, quorum).all(|name| *name > self.me.name)
+        self.in_contact(now, quorum)
+            && self
+                .contact
+                .in_contact(now, quorum)
+                .all(|name| *name > self.me.name)
     }
 
     pub fn address(&self, member: &Member) -> SocketAddrV4 {
@@ -267,7 +280,8 @@
         let id = note.id.clone();
         // Others must know of it if it is cold, or cold for longer, than they believe.
         let warm_at = self.units.get(&id).map_or(0, |unit| unit.warm_at);
-        let colder = note.warm_left_ms > 0 && now + u64::from(note.warm_left_ms) > warm_at + COLDER_MS;
+        let colder =
+            note.warm_left_ms > 0 && now + u64::from(note.warm_left_ms) > warm_at + COLDER_MS;
         let tells = note.sequence.is_multiple_of(EVERY_BEAT) || colder;
         let news = self.units.merge(now, note);
         match news {
@@ -298,29 +312,50 @@
 
     /// This relay's own sign for its peers.
     pub fn sign(&mut self, now: u64, sign: letter::Sign) {
-        self.signs.insert((sign.relay.clone(), sign.service.clone()), (sign.clone(), now));
+        self.signs.insert(
+            (sign.relay.clone(), sign.service.clone()),
+            (sign.clone(), now),
+        );
         self.pass_on(What::Sign(sign));
     }
 
     /// Signs that have not lapsed, this relay's own among them.
-    pub fn signs<'a>(&'a self, now: u64, service: &'a str) -> impl Iterator<Item = &'a letter::Sign> {
-        let fresh =
-            self.signs.values().filter(move |(sign, at)| sign.service == service && at + FORGET_MS > now);
+    pub fn signs<'a>(
+        &'a self,
+        now: u64,
+        service: &'a str,
+    ) -> impl Iterator<Item = &'a letter::Sign> {
+        let fresh = self
+            .signs
+            .values()
+            .filter(move |(sign, at)| sign.service == service && at + FORGET_MS > now);
         fresh.map(|(sign, _)| sign)
     }
 
     fn pass_on(&mut self, item: What) {
         let same = |held: &What| match (held, &item) {
-            (What::Sign(held), What::Sign(new)) => (&held.relay, &held.service) == (&new.relay, &new.service),
-            (What::Seen(held), What::Seen(new)) => (&held.relay, &held.service) == (&new.relay, &new.service),
+            (What::Sign(held), What::Sign(new)) => {
+                (&held.relay, &held.service) == (&new.relay, &new.service)
+            }
+            (What::Seen(held), What::Seen(new)) => {
+                (&held.relay, &held.service) == (&new.relay, &new.service)
+            }
             (What::Crowd(held), What::Crowd(new)) => {
                 (&held.relay, &held.service) == (&new.relay, &new.service)
             }
             _ => *held == item,
         };
         self.fresh.retain(|fresh| !same(&fresh.item));
-        let ends = |id: &String| self.units.get(id).is_some_and(|unit| unit.note.state != State::Ready);
-        let left = if matches!(&item, What::Unit(id) if ends(id)) { TIMES_URGENT } else { TIMES };
+        let ends = |id: &String| {
+            self.units
+                .get(id)
+                .is_some_and(|unit| unit.note.state != State::Ready)
+        };
+        let left = if matches!(&item, What::Unit(id) if ends(id)) {
+            TIMES_URGENT
+        } else {
+            TIMES
+        };
         self.fresh.push_back(Fresh { item, left });
     }
 
@@ -348,7 +383,11 @@
             }
         }
         if now >= self.next_ping {
-            let wait = if self.heard_at == 0 { KNOCK_MS } else { PING_MS };
+            let wait = if self.heard_at == 0 {
+                KNOCK_MS
+            } else {
+                PING_MS
+            };
             self.next_ping = now + wait + self.rng.random_range(0..wait / 8);
             self.ping(now, out);
             self.signs.retain(|_, (_, at)| *at + FORGET_MS > now);
@@ -362,26 +401,40 @@
         for Fresh { item, left } in fresh {
             items.extend(self.tell(now, &item));
             if left > 1 {
-                self.fresh.push_back(Fresh { item, left: left - 1 });
+                self.fresh.push_back(Fresh {
+                    item,
+                    left: left - 1,
+                });
             }
         }
         let mut near: Vec<SocketAddrV4> = Vec::new();
         let mut others: Vec<SocketAddrV4> = Vec::new();
         for member in self.alive() {
-            let group = if far || member.region == self.me.region { &mut near } else { &mut others };
+            let group = if far || member.region == self.me.region {
+                &mut near
+            } else {
+                &mut others
+            };
             group.push(self.address(member));
         }
         for _ in 0..few {
             let from_afar = near.is_empty() || self.rng.random_bool(FAR_PART);
-            let group = if from_afar && !others.is_empty() { &mut others } else { &mut near };
+            let group = if from_afar && !others.is_empty() {
+                &mut others
+            } else {
+                &mut near
+            };
             if group.is_empty() {
                 continue;
             }
             let to = group.swap_remove(self.rng.random_range(0..group.len()));
             if from_afar && !far {
                 // Words on keys are for the region.
-                let items: Vec<Item> =
-                    items.iter().filter(|i| !matches!(i, Item::Crowd(_))).cloned().collect();
+                let items: Vec<Item> = items
+                    .iter()
+                    .filter(|i| !matches!(i, Item::Crowd(_)))
+                    .cloned()
+                    .collect();
                 if !items.is_empty() {
                     self.send(to, &items, false, None, out);
                 }
@@ -394,11 +447,25 @@
     fn tell(&self, now: u64, what: &What) -> Option<Item> {
         match what {
             What::Member(name) if *name == self.me.name => Some(Item::Member(self.me.clone())),
-            What::Member(name) => self.members.get(name).map(|known| Item::Member(known.member.clone())),
+            What::Member(name) => self
+                .members
+                .get(name)
+                .map(|known| Item::Member(known.member.clone())),
             What::Unit(id) => self.units.note(now, id).map(Item::Unit),
             What::Beat(id) => self.units.note(now, id).map(|note| {
-                let Note { id, sequence, warm_left_ms, age_ms, .. } = note;
-                Item::Beat(Beat { id, sequence, warm_left_ms, age_ms })
+                let Note {
+                    id,
+                    sequence,
+                    warm_left_ms,
+                    age_ms,
+                    ..
+                } = note;
+                Item::Beat(Beat {
+                    id,
+                    sequence,
+                    warm_left_ms,
+                    age_ms,
+                })
             }),
             What::Sign(sign) => Some(Item::Sign(sign.clone())),
             What::Crowd(crowd) => Some(Item::Crowd(crowd.clone())),
@@ -408,11 +475,22 @@
 
     /// Sends items in as many letters as they need.
     fn send(
-        &self, to: SocketAddrV4, items: &[Item], ask: bool, ranges: Option<&Ranges>, out: &mut Vec<Action>,
+        &self,
+        to: SocketAddrV4,
+        items: &[Item],
+        ask: bool,
+        ranges: Option<&Ranges>,
+        out: &mut Vec<Action>,
     ) {
         let mut rest = items;
         let (mut ask, mut ranges) = (ask, ranges);
-        let Member { name, incarnation, mark, standing, .. } = &self.me;
+        let Member {
+            name,
+            incarnation,
+            mark,
+            standing,
+            ..
+        } = &self.me;
         loop {
             let mut bytes = 0;
             let fit = rest.iter().take_while(|item| {
@@ -420,10 +498,19 @@
                 bytes <= LETTER_BYTES
             });
             let (now, later) = rest.split_at(fit.count().max(1).min(rest.len()));
-            let from =
-                Who { name: name.clone(), incarnation: *incarnation, mark: *mark, standing: *standing };
-            let letter =
-                Letter { from, ask, sums: self.sums(), ranges: ranges.cloned(), items: now.to_vec() };
+            let from = Who {
+                name: name.clone(),
+                incarnation: *incarnation,
+                mark: *mark,
+                standing: *standing,
+            };
+            let letter = Letter {
+                from,
+                ask,
+                sums: self.sums(),
+                ranges: ranges.cloned(),
+                items: now.to_vec(),
+            };
             out.push(Action::Send { to, letter });
             (rest, ask, ranges) = (later, false, None);
             if rest.is_empty() {
@@ -433,7 +520,10 @@
     }
 
     fn ranges(&self) -> Ranges {
-        Ranges { members: self.ranges, units: self.units.digests() }
+        Ranges {
+            members: self.ranges,
+            units: self.units.digests(),
+        }
     }
 
     /// The digests follow a change of a member, this relay among them.
@@ -461,7 +551,9 @@
             return watched.clone();
         }
         let mine = self.alive().filter(|member| self.watches(member));
-        let watched: Vec<_> = mine.map(|member| (member.name.clone(), self.address(member))).collect();
+        let watched: Vec<_> = mine
+            .map(|member| (member.name.clone(), self.address(member)))
+            .collect();
         self.watched = Some(watched.clone());
         watched
     }
@@ -469,7 +561,10 @@
     fn sums(&self) -> Sums {
         let (members, units) = self.ranges().sums();
         let [members_at, units_at] = self.changed_at;
-        let settled = [self.clock >= members_at + SETTLED_MS[0], self.clock >= units_at + SETTLED_MS[1]];
+        let settled = [
+            self.clock >= members_at + SETTLED_MS[0],
+            self.clock >= units_at + SETTLED_MS[1],
+        ];
         let age = |at| self.clock.saturating_sub(at).min(u64::from(u32::MAX)) as u32;
         Sums {
             members,
@@ -485,7 +580,9 @@
         let weight = |name: &str| rapidhash_v3(format!("{name} watches {}", other.name).as_bytes());
         let mine = weight(&self.me.name);
         let beside = self.me.region == other.region;
-        let before = self.alive().filter(|m| m.name != other.name && (m.region == other.region) == beside);
+        let before = self
+            .alive()
+            .filter(|m| m.name != other.name && (m.region == other.region) == beside);
         before.filter(|m| weight(&m.name) > mine).count() < WATCHERS[usize::from(!beside)]
     }
 
@@ -515,7 +612,9 @@
         // One more at random, those that are down among them: so halves that were apart find each other.
         let far = self.rng.random_bool(FAR_PART);
         let known = || self.members.values().map(|known| &known.member);
-        let any = known().filter(|member| far || member.region == self.me.region).choose(&mut self.rng);
+        let any = known()
+            .filter(|member| far || member.region == self.me.region)
+            .choose(&mut self.rng);
         if let Some(to) = any.map(|member| self.address(member)) {
             self.send(to, &[], true, None, out);
         }
@@ -523,15 +622,30 @@
         let huts = self.alive().filter(|member| member.core).count();
         let ranges = self.ranges();
         for seed in self.seeds.clone() {
-            let known = self.members.values().any(|known| known.member.ip == *seed.ip());
+            let known = self
+                .members
+                .values()
+                .any(|known| known.member.ip == *seed.ip());
             if *seed.ip() != self.me.ip && (huts == 0 || !known) {
-                self.send(SocketAddrV4::new(*seed.ip(), self.port), &[], true, Some(&ranges), out);
+                self.send(
+                    SocketAddrV4::new(*seed.ip(), self.port),
+                    &[],
+                    true,
+                    Some(&ranges),
+                    out,
+                );
             }
         }
     }
 
     pub fn letter(&mut self, now: u64, from: SocketAddrV4, letter: Letter, out: &mut Vec<Action>) {
-        let Letter { from: sender, ask, sums, ranges, items } = letter;
+        let Letter {
+            from: sender,
+            ask,
+            sums,
+            ranges,
+            items,
+        } = letter;
         if sender.name == self.me.name {
             return;
         }
@@ -540,8 +654,18 @@
         self.contact.heard(now, &name);
         if let Some(known) = self.members.get_mut(&sender.name) {
             (known.answered_at, known.wrote_at) = (now, now);
-            let Who { incarnation, mark, standing, .. } = sender;
-            let member = Member { incarnation, mark, standing, ..known.member.clone() };
+            let Who {
+                incarnation,
+                mark,
+                standing,
+                ..
+            } = sender;
+            let member = Member {
+                incarnation,
+                mark,
+                standing,
+                ..known.member.clone()
+            };
             self.take_member(now, member, out);
             // One that is said to be down and writes is told so at once: its next word outranks that.
             let known = &self.members[&name].member;
@@ -571,8 +695,13 @@
             self.touched(now.saturating_sub(u64::from(age)), revision);
         }
         for (register, &revision) in sums.revisions.iter().enumerate() {
-            if revision > self.revisions[register] && self.may_pull(now, register, revision, &name) {
-                out.push(Action::Pull { from, register, revision });
+            if revision > self.revisions[register] && self.may_pull(now, register, revision, &name)
+            {
+                out.push(Action::Pull {
+                    from,
+                    register,
+                    revision,
+                });
             }
         }
         let Some(theirs) = ranges else {
@@ -592,10 +721,20 @@
         };
         let mine = self.ranges();
         let mut items: Vec<Item> = Vec::new();
-        let differing = |member: &&Member| mine.members[member.range()] != theirs.members[member.range()];
-        items.extend(self.known().chain([&self.me]).filter(differing).cloned().map(Item::Member));
+        let differing =
+            |member: &&Member| mine.members[member.range()] != theirs.members[member.range()];
         items.extend(
-            self.units.differing(&theirs.units).filter_map(|id| self.units.note(now, id)).map(Item::Unit),
+            self.known()
+                .chain([&self.me])
+                .filter(differing)
+                .cloned()
+                .map(Item::Member),
+        );
+        items.extend(
+            self.units
+                .differing(&theirs.units)
+                .filter_map(|id| self.units.note(now, id))
+                .map(Item::Unit),
         );
         if ask || !items.is_empty() {
             self.send(from, &items, false, ask.then_some(&mine), out);
@@ -605,7 +744,10 @@
     /// Copies are large, and bytes between regions cost most: one relay of a region fetches from afar, and the
     /// others from it; they go afar themselves if none of their region has it after a while.
     fn may_pull(&mut self, now: u64, register: usize, revision: u64, from: &str) -> bool {
-        let near = self.members.get(from).is_none_or(|known| known.member.region == self.me.region);
+        let near = self
+            .members
+            .get(from)
+            .is_none_or(|known| known.member.region == self.me.region);
         // The wait is for the oldest copy that is missed, whoever tells of it.
         let (missed, since) = &mut self.missed[register];
         if *missed <= self.revisions[register] {
@@ -614,7 +756,9 @@
         let since = *since;
         let weight = |name: &str| rapidhash_v3(format!("{name} fetches").as_bytes());
         let mine = weight(&self.me.name);
-        let mut beside = self.alive().filter(|member| member.region == self.me.region);
+        let mut beside = self
+            .alive()
+            .filter(|member| member.region == self.me.region);
         // A relay that has none yet serves nobody: it takes it from whoever has it.
         let none = self.revisions[register] == 0;
         near || none || now >= since + FETCH_MS || beside.all(|member| weight(&member.name) < mine)
@@ -626,7 +770,8 @@
             if member.rank() > self.me.rank() {
                 let (incarnation, mark) = (member.incarnation, member.mark);
                 self.say(|me| {
-                    (me.incarnation, me.mark) = (me.incarnation.max(incarnation), me.mark.max(mark) + 1)
+                    (me.incarnation, me.mark) =
+                        (me.incarnation.max(incarnation), me.mark.max(mark) + 1)
                 });
             }
             return;
@@ -634,7 +779,8 @@
         let name = member.name.clone();
         let before = match self.members.get_mut(&name) {
             None => {
-                self.members.insert(name.clone(), Known::new(now, member.clone()));
+                self.members
+                    .insert(name.clone(), Known::new(now, member.clone()));
                 None
             }
             Some(known) if member.rank() > known.member.rank() => {
@@ -667,9 +813,21 @@
     }
 
     fn take_beat(&mut self, now: u64, beat: Beat, out: &mut Vec<Action>) {
-        let Some(unit) = self.units.get(&beat.id) else { return };
-        let Beat { id, sequence, warm_left_ms, age_ms } = beat;
-        let note = Note { sequence, warm_left_ms, age_ms, ..unit.note.clone() };
+        let Some(unit) = self.units.get(&beat.id) else {
+            return;
+        };
+        let Beat {
+            id,
+            sequence,
+            warm_left_ms,
+            age_ms,
+        } = beat;
+        let note = Note {
+            sequence,
+            warm_left_ms,
+            age_ms,
+            ..unit.note.clone()
+        };
         if self.units.merge(now, note) == News::Beat {
             self.pass_on(What::Beat(id.clone()));
             out.push(Action::Beat(id));
@@ -710,7 +868,10 @@
     }
 
     fn take_crowd(&mut self, crowd: letter::Crowded, out: &mut Vec<Action>) {
-        let near = self.members.get(&crowd.relay).is_some_and(|known| known.member.region == self.me.region);
+        let near = self
+            .members
+            .get(&crowd.relay)
+            .is_some_and(|known| known.member.region == self.me.region);
         let key = (crowd.relay.clone(), crowd.service.clone());
         let number = (crowd.incarnation, crowd.count);
         let newer = self.crowds.get(&key).is_none_or(|&held| held < number);
@@ -723,10 +884,9 @@
 
     fn take_sign(&mut self, now: u64, sign: letter::Sign, out: &mut Vec<Action>) {
         let key = (sign.relay.clone(), sign.service.clone());
-        let news = self
-            .signs
-            .get(&key)
-            .is_none_or(|(held, _)| (sign.incarnation, sign.count) > (held.incarnation, held.count));
+        let news = self.signs.get(&key).is_none_or(|(held, _)| {
+            (sign.incarnation, sign.count) > (held.incarnation, held.count)
+        });
         if news && sign.relay != self.me.name {
             self.signs.insert(key, (sign.clone(), now));
             self.pass_on(What::Sign(sign.clone()));
@@ -736,6 +896,8 @@
 
     /// Whether a unit may be sent to at all, as far as the table tells.
     pub fn open(&self, id: &str) -> bool {
-        self.units.get(id).is_some_and(|unit| unit.note.state == State::Ready)
+        self.units
+            .get(id)
+            .is_some_and(|unit| unit.note.state == State::Ready)
     }
 }
--- a/crates/beechcroft-hotkeys/src/pins.rs
+++ b/crates/beechcroft-hotkeys/src/pins.rs
@@ -12,7 +12,10 @@
 impl Pins {
     /// The unit that a key's next request on this connection goes to, if it is bound to one.
     pub fn unit(&self, now: u64, key: u64) -> Option<Rc<str>> {
-        let held = self.0.iter().find(|(of, _, until)| *of == key && *until > now);
+        let held = self
+            .0
+            .iter()
+            .find(|(of, _, until)| *of == key && *until > now);
         held.map(|(_, unit, _)| unit.clone())
     }
 
--- a/crates/beechcroft-lab/src/chart.rs
+++ b/crates/beechcroft-lab/src/chart.rs
@@ -16,7 +16,12 @@
 }
 
 fn draw(
-    file: &Path, title: &str, x: &str, y: &str, xs: std::ops::Range<f64>, ys: std::ops::Range<f64>,
+    file: &Path,
+    title: &str,
+    x: &str,
+    y: &str,
+    xs: std::ops::Range<f64>,
+    ys: std::ops::Range<f64>,
     series: &[Series],
 ) -> Result<(), Box<dyn std::error::Error>> {
     let root = SVGBackend::new(file, (800, 480)).into_drawing_area();
@@ -31,11 +36,18 @@
     for (nth, (name, points)) in series.iter().enumerate() {
         let colour = Palette99::pick(nth).to_rgba();
         chart
-            .draw_series(LineSeries::new(points.iter().copied(), colour.stroke_width(2)))?
+            .draw_series(LineSeries::new(
+                points.iter().copied(),
+                colour.stroke_width(2),
+            ))?
             .label(name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour.stroke_width(2)));
     }
-    chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
+    chart
+        .configure_series_labels()
+        .background_style(WHITE.mix(0.8))
+        .border_style(BLACK)
+        .draw()?;
     root.present()?;
     Ok(())
 }
--- a/crates/beechcroft-lab/src/fleet.rs
+++ b/crates/beechcroft-lab/src/fleet.rs
@@ -12,7 +12,9 @@
 
 /// Prints discovery's address and goes on until it is ended.
 pub fn serve(units: usize) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let served = runtime.map_err(|error| error.to_string())?.block_on(async {
         let mut addresses = Vec::new();
         for _ in 0..units {
@@ -30,7 +32,8 @@
 }
 
 async fn accept<F: Future<Output = ()> + Send + 'static>(
-    listener: TcpListener, each: impl Fn(TcpStream) -> F,
+    listener: TcpListener,
+    each: impl Fn(TcpStream) -> F,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
         let _ = stream.set_nodelay(true);
@@ -53,7 +56,11 @@
     let mut stream = BufReader::new(stream);
     while request(&mut stream).await.is_some() {
         tokio::time::sleep(WORK).await;
-        if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone").await.is_err() {
+        if stream
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
+            .await
+            .is_err()
+        {
             return;
         }
     }
@@ -79,7 +86,10 @@
             }
             false => &whole,
         };
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         if stream.write_all(answer.as_bytes()).await.is_err() {
             return;
         }
