--- a/crates/beechcroft-lab/src/main.rs
+++ b/crates/beechcroft-lab/src/main.rs
@@ -113,7 +113,10 @@
     /// Units and discovery.
     Fleet { units: usize },
     /// A relay whose allocations are counted.
-    Relay { config: std::path::PathBuf, operator: std::path::PathBuf },
+    Relay {
+        config: std::path::PathBuf,
+        operator: std::path::PathBuf,
+    },
 }
 
 fn main() -> ExitCode {
--- a/crates/beechcroft-operator/src/lib.rs
+++ b/crates/beechcroft-operator/src/lib.rs
@@ -71,7 +71,12 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Fault { file, line, key, what } = self;
+        let Fault {
+            file,
+            line,
+            key,
+            what,
+        } = self;
         match (line, key.as_str()) {
             (0, _) => write!(f, "{file}: {what}"),
             (line, "") => write!(f, "{file}, line {line}: {what}"),
@@ -97,16 +102,29 @@
         let table = lines().filter_map(title).last().unwrap_or_default();
         let own = self.text.lines().nth(line).unwrap_or_default();
         let key = own.split_once('=').map_or("", |(key, _)| key.trim());
-        let key = if key.is_empty() || table.is_empty() { table + key } else { format!("{table}.{key}") };
-        Fault { file: self.file.to_owned(), line: line + 1, key, what }
+        let key = if key.is_empty() || table.is_empty() {
+            table + key
+        } else {
+            format!("{table}.{key}")
+        };
+        Fault {
+            file: self.file.to_owned(),
+            line: line + 1,
+            key,
+            what,
+        }
     }
 }
 
 impl Operator {
     pub fn read(path: &Path) -> Result<Operator, Fault> {
         let file = path.display().to_string();
-        let unread =
-            |error| Fault { file: file.clone(), line: 0, key: String::new(), what: format!("{error}") };
+        let unread = |error| Fault {
+            file: file.clone(),
+            line: 0,
+            key: String::new(),
+            what: format!("{error}"),
+        };
         Operator::decode(&file, &std::fs::read_to_string(path).map_err(unread)?)
     }
 
@@ -117,8 +135,12 @@
             let what = error.message().replace("unknown field", "unknown key");
             source.fault(error.span().unwrap_or(0..0), what)
         })?;
-        let connections = raw.connections.map(|raw| Connections::check(raw.into_inner(), &source));
-        Ok(Operator { connections: connections.transpose()? })
+        let connections = raw
+            .connections
+            .map(|raw| Connections::check(raw.into_inner(), &source));
+        Ok(Operator {
+            connections: connections.transpose()?,
+        })
     }
 
     /// Every key that there is.
@@ -129,11 +151,15 @@
     /// What holds: table, key, value; nothing of a table that is off.
     pub fn held(&self) -> Vec<(&'static str, &'static str, String)> {
         let held = self.connections.iter().flat_map(Table::held);
-        held.map(|(key, value)| (Connections::TITLE, key, value)).collect()
+        held.map(|(key, value)| (Connections::TITLE, key, value))
+            .collect()
     }
 
     /// The tables that are on.
     pub fn on(&self) -> Vec<&'static str> {
-        self.connections.iter().map(|_| Connections::TITLE).collect()
+        self.connections
+            .iter()
+            .map(|_| Connections::TITLE)
+            .collect()
     }
 }
--- a/crates/beechcroft-operator/src/table.rs
+++ b/crates/beechcroft-operator/src/table.rs
@@ -33,14 +33,23 @@
 
 /// The value of a key: the stated one, if it is within its range, else the default.
 pub fn within<T: PartialOrd + Display>(
-    stated: Option<Spanned<T>>, default: T, least: T, most: T, source: &Source,
+    stated: Option<Spanned<T>>,
+    default: T,
+    least: T,
+    most: T,
+    source: &Source,
 ) -> Result<T, Fault> {
-    let Some(stated) = stated else { return Ok(default) };
+    let Some(stated) = stated else {
+        return Ok(default);
+    };
     let value = stated.get_ref();
     if *value >= least && *value <= most {
         return Ok(stated.into_inner());
     }
-    Err(source.fault(stated.span(), format!("{value} is out of range, {least} to {most} can be had")))
+    Err(source.fault(
+        stated.span(),
+        format!("{value} is out of range, {least} to {most} can be had"),
+    ))
 }
 
 #[macro_export]
--- a/crates/beechcroft-outlier/src/lease.rs
+++ b/crates/beechcroft-outlier/src/lease.rs
@@ -56,7 +56,8 @@
         if version > self.version + 1 || self.before.len() >= KEPT {
             self.unseen_at = Some(now);
         }
-        self.before.push_back((now, std::mem::replace(&mut self.aside, aside.clone())));
+        self.before
+            .push_back((now, std::mem::replace(&mut self.aside, aside.clone())));
         if self.before.len() > KEPT {
             self.before.pop_front();
         }
@@ -69,7 +70,11 @@
         let current = place(&self.aside);
         let counted = if stands(Guard::EarlierMoves) { KEPT } else { 1 };
         let before = self.before.iter().rev().take(counted);
-        let moved = before.filter(|(_, aside)| place(aside) != current).map(|(at, _)| *at);
-        moved.chain(self.unseen_at.filter(|_| stands(Guard::UnseenMoves))).max()
+        let moved = before
+            .filter(|(_, aside)| place(aside) != current)
+            .map(|(at, _)| *at);
+        moved
+            .chain(self.unseen_at.filter(|_| stands(Guard::UnseenMoves)))
+            .max()
     }
 }
--- a/crates/beechcroft-outlier/src/lib.rs
+++ b/crates/beechcroft-outlier/src/lib.rs
@@ -45,7 +45,10 @@
     }
 
     fn bad(&self) -> u32 {
-        [self.late, self.errors, self.wrong, self.unreachable].iter().map(|&count| u32::from(count)).sum()
+        [self.late, self.errors, self.wrong, self.unreachable]
+            .iter()
+            .map(|&count| u32::from(count))
+            .sum()
     }
 
     fn reached(&self) -> u32 {
@@ -68,8 +71,11 @@
 impl Word {
     /// A relay that reaches hardly any unit is cut off itself: its word is about its own link.
     pub fn is_cut_off(&self) -> bool {
-        let lost =
-            self.units.iter().filter(|(_, count)| count.unreachable > 0 && count.reached() == 0).count();
+        let lost = self
+            .units
+            .iter()
+            .filter(|(_, count)| count.unreachable > 0 && count.reached() == 0)
+            .count();
         lost > 2 && lost * 2 > self.units.len()
     }
 }
@@ -133,25 +139,39 @@
 
 /// A unit's name in words.
 pub fn short(id: &str) -> u32 {
-    id.bytes().fold(0xcbf2_9ce4_8422_2325, |sum: u64, b| (sum ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
-        as u32
+    id.bytes().fold(0xcbf2_9ce4_8422_2325, |sum: u64, b| {
+        (sum ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    }) as u32
 }
 
 impl Bench {
     /// Takes a word, in any order, any number of times. Numbers are seconds of a common clock, roughly; a relay
     /// that wakes with old ones is not heard.
     pub fn hear(&mut self, word: &Word) {
-        let latest = self.heard.values().map(|&(_, number)| number).max().unwrap_or(0);
+        let latest = self
+            .heard
+            .values()
+            .map(|&(_, number)| number)
+            .max()
+            .unwrap_or(0);
         if word.is_cut_off() || word.number + STALE < latest {
             return;
         }
-        let held = self.heard.entry(word.relay.clone()).or_insert((word.incarnation, word.number));
+        let held = self
+            .heard
+            .entry(word.relay.clone())
+            .or_insert((word.incarnation, word.number));
         if word.incarnation < held.0 {
             return;
         }
         *held = (*held).max((word.incarnation, word.number));
         for &(unit, count) in &word.units {
-            let seen = self.units.entry(unit).or_default().entry(word.relay.clone()).or_default();
+            let seen = self
+                .units
+                .entry(unit)
+                .or_default()
+                .entry(word.relay.clone())
+                .or_default();
             if word.incarnation > seen.incarnation {
                 *seen = Seen {
                     region: word.region.clone(),
@@ -169,14 +189,26 @@
     /// Units that some relay has lately said something bad of: whoever sends to them tells what it sees.
     pub fn asked(&self) -> BTreeSet<u32> {
         let now = self.now();
-        let lately =
-            |seen: &Seen| seen.periods.range(now.saturating_sub(STALE)..).any(|(_, count)| count.is_bad());
-        self.units.iter().filter(|(_, relays)| relays.values().any(lately)).map(|(&unit, _)| unit).collect()
+        let lately = |seen: &Seen| {
+            seen.periods
+                .range(now.saturating_sub(STALE)..)
+                .any(|(_, count)| count.is_bad())
+        };
+        self.units
+            .iter()
+            .filter(|(_, relays)| relays.values().any(lately))
+            .map(|(&unit, _)| unit)
+            .collect()
     }
 
     /// The latest period that any relay has told of.
     fn now(&self) -> u32 {
-        self.heard.values().map(|&(_, number)| number).max().unwrap_or(0).max(self.clock)
+        self.heard
+            .values()
+            .map(|&(_, number)| number)
+            .max()
+            .unwrap_or(0)
+            .max(self.clock)
     }
 
     /// Another period has begun.
@@ -207,29 +239,44 @@
     /// rule's share is ever set aside: past it nobody is, as it is not they. `regions`: how many the relays are in.
     pub fn verdicts(&self, rules: &Unfit, units: usize, regions: usize) -> BTreeMap<u32, Verdict> {
         let now = self.now();
-        let mut all: BTreeMap<u32, Verdict> =
-            self.units.iter().map(|(&unit, relays)| (unit, verdict(relays, rules, regions, now))).collect();
-        let unfit = all.values().filter(|&&verdict| verdict == Verdict::Unfit).count();
+        let mut all: BTreeMap<u32, Verdict> = self
+            .units
+            .iter()
+            .map(|(&unit, relays)| (unit, verdict(relays, rules, regions, now)))
+            .collect();
+        let unfit = all
+            .values()
+            .filter(|&&verdict| verdict == Verdict::Unfit)
+            .count();
         if unfit as f64 > rules.most_aside * units as f64 {
-            all.values_mut().for_each(|verdict| *verdict = (*verdict).min(Verdict::LostPath));
+            all.values_mut()
+                .for_each(|verdict| *verdict = (*verdict).min(Verdict::LostPath));
         }
         all
     }
 
     /// The verdict on one unit, before it is asked how many of its service are unfit.
     pub fn verdict(&self, unit: u32, rules: &Unfit, regions: usize) -> Verdict {
-        self.units.get(&unit).map_or(Verdict::Fit, |relays| verdict(relays, rules, regions, self.now()))
+        self.units.get(&unit).map_or(Verdict::Fit, |relays| {
+            verdict(relays, rules, regions, self.now())
+        })
     }
 
     /// Whether a region is among those that cannot reach a unit.
     pub fn is_lost_from(&self, unit: u32, region: &str) -> bool {
         let now = self.now();
-        let Some(relays) = self.units.get(&unit) else { return false };
+        let Some(relays) = self.units.get(&unit) else {
+            return false;
+        };
         let here = relays.values().filter(|seen| seen.region == region);
-        let counts =
-            here.flat_map(|seen| seen.periods.range(now.saturating_sub(LOST as u32 - 1)..).map(|(_, c)| c));
-        let (lost, reached) =
-            counts.fold((0, 0), |(l, r), c| (l + u32::from(c.unreachable), r + c.reached()));
+        let counts = here.flat_map(|seen| {
+            seen.periods
+                .range(now.saturating_sub(LOST as u32 - 1)..)
+                .map(|(_, c)| c)
+        });
+        let (lost, reached) = counts.fold((0, 0), |(l, r), c| {
+            (l + u32::from(c.unreachable), r + c.reached())
+        });
         lost >= 2 && reached == 0
     }
 }
@@ -245,7 +292,11 @@
 
 impl Sum {
     fn add(&mut self, count: &Count, rules: &Unfit) {
-        let late = if rules.late_times > 0.0 { u32::from(count.late) } else { 0 };
+        let late = if rules.late_times > 0.0 {
+            u32::from(count.late)
+        } else {
+            0
+        };
         self.bad += u32::from(count.errors) + u32::from(count.wrong) * 2 + late;
         self.fine += u32::from(count.answers).saturating_sub(late);
         self.reached += count.reached();
@@ -265,12 +316,17 @@
 }
 
 fn by_region<'a>(
-    relays: &'a BTreeMap<String, Seen>, rules: &Unfit, first: u32, now: u32,
+    relays: &'a BTreeMap<String, Seen>,
+    rules: &Unfit,
+    first: u32,
+    now: u32,
 ) -> BTreeMap<&'a str, Vec<Sum>> {
     let length = (now - first) as usize + 1;
     let mut regions: BTreeMap<&str, Vec<Sum>> = BTreeMap::new();
     for seen in relays.values() {
-        let sums = regions.entry(&seen.region).or_insert_with(|| vec![Sum::default(); length]);
+        let sums = regions
+            .entry(&seen.region)
+            .or_insert_with(|| vec![Sum::default(); length]);
         for (&period, count) in seen.periods.range(first..=now) {
             sums[(period - first) as usize].add(count, rules);
         }
@@ -280,7 +336,12 @@
 
 /// `regions`: how many there are. The latest period at which the unit was unfit counts, and how often it became so.
 fn verdict(relays: &BTreeMap<String, Seen>, rules: &Unfit, regions: usize, now: u32) -> Verdict {
-    let first = relays.values().filter_map(|seen| seen.periods.keys().next()).min().copied().unwrap_or(now);
+    let first = relays
+        .values()
+        .filter_map(|seen| seen.periods.keys().next())
+        .min()
+        .copied()
+        .unwrap_or(now);
     let first = first.min(now).max(now.saturating_sub(KEPT as u32));
     let sums = by_region(relays, rules, first, now);
     let needed = rules.regions.min(regions).max(1);
@@ -320,8 +381,11 @@
     // Each time counts, the older the less: after a while one is forgotten.
     let end = (now - first) as usize;
     let forgotten = |at: usize| (end - at) / FORGET;
-    let times =
-        history.iter().enumerate().filter(|&(nth, &at)| history.len() - nth > forgotten(at)).count() as u32;
+    let times = history
+        .iter()
+        .enumerate()
+        .filter(|&(nth, &at)| history.len() - nth > forgotten(at))
+        .count() as u32;
     let hold = (HOLD << times.saturating_sub(1).min(HOLD_DOUBLINGS)) as usize;
     match last {
         Some(at) if end < at + hold => Verdict::Unfit,
--- a/crates/beechcroft-proxy/src/guide.rs
+++ b/crates/beechcroft-proxy/src/guide.rs
@@ -38,7 +38,10 @@
 const SETTLE_MS: u64 = 60;
 
 fn count_of(trials: u16, failures: u16) -> Count {
-    Count { trials: trials.into(), failures: failures.into() }
+    Count {
+        trials: trials.into(),
+        failures: failures.into(),
+    }
 }
 
 pub enum Command {
@@ -86,10 +89,20 @@
 
 impl Guide {
     pub fn new(
-        shared: Rc<Shared>, me: Member, salt: u64, post: Post, errands: Errands, queue: Queue,
+        shared: Rc<Shared>,
+        me: Member,
+        salt: u64,
+        post: Post,
+        errands: Errands,
+        queue: Queue,
     ) -> Guide {
         let settings = &shared.settings;
-        let cairns = Cairns::new(me, settings.internal_ports[0], settings.seed_nodes.clone(), salt);
+        let cairns = Cairns::new(
+            me,
+            settings.internal_ports[0],
+            settings.seed_nodes.clone(),
+            salt,
+        );
         Guide {
             shared,
             cairns,
@@ -122,7 +135,9 @@
                 self.learn(now, register, value, &mut news);
             }
             Command::Confirmed(revisions) => self.start.confirmed(revisions),
-            Command::Copy(register, answer) => drop(answer.send(self.held[register.min(1)].clone())),
+            Command::Copy(register, answer) => {
+                drop(answer.send(self.held[register.min(1)].clone()))
+            }
             Command::Ended(id) => {
                 if self.cairns.unit_gone(&id) {
                     news.push(Action::Unit(id.to_string()));
@@ -145,9 +160,11 @@
         for action in news {
             match action {
                 Action::Send { to, letter } => self.post.send(to, &letter),
-                Action::Pull { from, register, revision }
-                    if now >= self.pulling[register] && revision > self.held[register].revision =>
-                {
+                Action::Pull {
+                    from,
+                    register,
+                    revision,
+                } if now >= self.pulling[register] && revision > self.held[register].revision => {
                     self.pulling[register] = now + COPY_WITHIN.as_millis() as u64 / 2;
                     let (errands, queue) = (self.errands.clone(), self.queue.clone());
                     spawn_local(async move {
@@ -163,11 +180,21 @@
                 }
                 Action::Beat(id) => self.sync_unit(now, &id),
                 Action::Members => self.count_edges(now),
-                Action::Seen(word) => self.benches.entry(word.service.clone()).or_default().hear(&word),
+                Action::Seen(word) => self
+                    .benches
+                    .entry(word.service.clone())
+                    .or_default()
+                    .hear(&word),
                 Action::Crowd(crowd) => {
                     let mut crowds = self.shared.crowds.borrow_mut();
                     if let Some(held) = crowds.get_mut(&crowd.service) {
-                        held.hear(now, &crowd.relay, crowd.incarnation, crowd.count, crowd.word);
+                        held.hear(
+                            now,
+                            &crowd.relay,
+                            crowd.incarnation,
+                            crowd.count,
+                            crowd.word,
+                        );
                     }
                 }
                 Action::Pull { .. } | Action::Sign(_) => {}
@@ -181,14 +208,19 @@
             return;
         }
         if register == CONFIG {
-            let Some(mut config) = ConfigStore::decode(&value).ok().and_then(|store| store.config()) else {
+            let Some(mut config) = ConfigStore::decode(&value)
+                .ok()
+                .and_then(|store| store.config())
+            else {
                 return;
             };
             self.shared.usual.fill(&mut config);
             log::info!("guide: Configuration {:08x} is in force.", config.version);
             *self.shared.table.borrow_mut() = Some(Rc::new(Table::new(&config)));
         } else {
-            let Ok(orders) = Orders::decode(&value) else { return };
+            let Ok(orders) = Orders::decode(&value) else {
+                return;
+            };
             log::info!("guide: Orders at {}: {orders:?}.", value.revision);
             let before = self.shared.orders.replace(orders);
             self.note_moves(now);
@@ -205,7 +237,11 @@
         let orders = self.shared.orders.borrow();
         let mut moves = self.shared.moves.borrow_mut();
         for (service, placement) in &orders.placements {
-            moves.entry(service.clone()).or_default().learn(now, placement.version, &placement.aside);
+            moves.entry(service.clone()).or_default().learn(
+                now,
+                placement.version,
+                &placement.aside,
+            );
         }
     }
 
@@ -217,7 +253,13 @@
             let zone = &unit.note.zone;
             if before.evacuated.contains(zone) && !orders.evacuated.contains(zone) {
                 let until = now + warmup + 1000;
-                self.doubts.insert(unit.note.id.clone(), Doubt { sequence: unit.note.sequence + 1, until });
+                self.doubts.insert(
+                    unit.note.id.clone(),
+                    Doubt {
+                        sequence: unit.note.sequence + 1,
+                        until,
+                    },
+                );
             }
         }
     }
@@ -229,7 +271,12 @@
     }
 
     fn sync_all(&mut self, now: u64) {
-        let ids: Vec<String> = self.cairns.units.all().map(|unit| unit.note.id.clone()).collect();
+        let ids: Vec<String> = self
+            .cairns
+            .units
+            .all()
+            .map(|unit| unit.note.id.clone())
+            .collect();
         for id in ids {
             self.sync_unit(now, &id);
         }
@@ -238,15 +285,21 @@
     /// Of two units at one address the one that was heard earlier has ended: nothing is sent to it any more, least of
     /// all on connections that its successor's machine would reset.
     fn succeed(&mut self, id: &str) {
-        let Some(unit) = self.cairns.units.get(id).filter(|unit| unit.note.state != State::Gone) else {
+        let Some(unit) = self
+            .cairns
+            .units
+            .get(id)
+            .filter(|unit| unit.note.state != State::Gone)
+        else {
             return;
         };
         let (address, heard_at) = (unit.note.address, unit.heard_at);
         let rivals = self.cairns.units.all().filter(|other| {
             other.note.address == address && other.note.id != id && other.note.state != State::Gone
         });
-        let rivals: Vec<(String, u64)> =
-            rivals.map(|other| (other.note.id.clone(), other.heard_at)).collect();
+        let rivals: Vec<(String, u64)> = rivals
+            .map(|other| (other.note.id.clone(), other.heard_at))
+            .collect();
         let ended: Vec<String> = match rivals.iter().any(|(_, at)| *at > heard_at) {
             true => vec![id.to_owned()],
             false => rivals.into_iter().map(|(rival, _)| rival).collect(),
@@ -262,12 +315,15 @@
 
     /// Brings what the yard holds of a unit up to what is known of it.
     fn sync_unit(&mut self, now: u64, id: &str) {
-        let Some(unit) = self.cairns.units.get(id) else { return };
+        let Some(unit) = self.cairns.units.get(id) else {
+            return;
+        };
         let note = &unit.note;
         self.units_at.get_or_insert(now);
         let mut yard = self.shared.yard.borrow_mut();
         if note.state == State::Gone {
-            yard.service(&note.service).retain(|place| *place.id != *id || place.open > 0);
+            yard.service(&note.service)
+                .retain(|place| *place.id != *id || place.open > 0);
             if let Some(place) = yard.place(&note.service, id) {
                 place.open_to_all = false;
             }
@@ -275,16 +331,28 @@
         }
         if yard.place(&note.service, id).is_none() {
             let region = self.shared.settings.region_of(&note.zone);
-            let place =
-                Place::new(id, note.address, &note.zone, region, &note.version, u32::from(note.capacity));
+            let place = Place::new(
+                id,
+                note.address,
+                &note.zone,
+                region,
+                &note.version,
+                u32::from(note.capacity),
+            );
             yard.add(&note.service, place);
         }
         let orders = self.shared.orders.borrow();
         let table = self.shared.table.borrow();
-        let rate = table.iter().flat_map(|table| &table.services).find(|s| s.name == note.service);
+        let rate = table
+            .iter()
+            .flat_map(|table| &table.services)
+            .find(|s| s.name == note.service);
         let rate = rate.map_or(0.0, |service| service.warmup_rate_s);
         let cold_mine = unit.warm_at > now && self.is_mine(id);
-        let doubt = self.doubts.get(id).filter(|doubt| note.sequence < doubt.sequence && now < doubt.until);
+        let doubt = self
+            .doubts
+            .get(id)
+            .filter(|doubt| note.sequence < doubt.sequence && now < doubt.until);
         let warm_at = doubt.map_or(unit.warm_at, |doubt| doubt.until.max(unit.warm_at));
         let side = match orders.admits(&note.service, &note.version) {
             Admits::Base => Side::Base,
@@ -295,26 +363,46 @@
         let place = yard.place(&note.service, id).expect("put there");
         place.side = side;
         place.open_to_all = note.state == State::Ready && !orders.evacuated.contains(&note.zone);
-        place.aside = orders.placements.get(&note.service).is_some_and(|held| held.aside.contains(id));
+        place.aside = orders
+            .placements
+            .get(&note.service)
+            .is_some_and(|held| held.aside.contains(id));
         place.warm_at = warm_at;
         // Half of what the unit bears, shared by those that may send.
-        place.cold_rate = if cold_mine { rate * 0.5 / COLD_RELAYS as f64 } else { 0.0 };
+        place.cold_rate = if cold_mine {
+            rate * 0.5 / COLD_RELAYS as f64
+        } else {
+            0.0
+        };
     }
 
     /// Whether this relay is among the few that may send to a unit while it is cold.
     fn is_mine(&self, id: &str) -> bool {
         let weight = |name: &str| rapidhash_v3(format!("{name} warms {id}").as_bytes());
         let mine = weight(&self.cairns.me.name);
-        self.cairns.alive().filter(|m| !m.core && weight(&m.name) > mine).count() < COLD_RELAYS
+        self.cairns
+            .alive()
+            .filter(|m| !m.core && weight(&m.name) > mine)
+            .count()
+            < COLD_RELAYS
     }
 
     fn count_edges(&mut self, _now: u64) {
-        self.shared.edges.set(1 + self.cairns.alive().filter(|member| !member.core).count());
+        self.shared
+            .edges
+            .set(1 + self.cairns.alive().filter(|member| !member.core).count());
         let order = |name: &str| rapidhash_v3(format!("{name} keeps").as_bytes());
         let mine = order(&self.cairns.me.name);
-        let beside = || self.cairns.alive().filter(|m| !m.core && m.region == self.cairns.me.region);
+        let beside = || {
+            self.cairns
+                .alive()
+                .filter(|m| !m.core && m.region == self.cairns.me.region)
+        };
         let nth = beside().filter(|member| order(&member.name) < mine).count();
-        self.shared.yard.borrow_mut().keep_to(nth, beside().count() + 1);
+        self.shared
+            .yard
+            .borrow_mut()
+            .keep_to(nth, beside().count() + 1);
     }
 
     fn tick(&mut self, now: u64, news: &mut Vec<Action>) {
@@ -323,9 +411,14 @@
             self.mark_silent(now);
             self.sync_all(now);
             let yard = self.shared.yard.borrow();
-            let used: BTreeMap<&str, bool> =
-                yard.places().map(|(_, place)| (&*place.id, place.open_to_all)).collect();
-            self.shared.pool.borrow_mut().sweep(now, |unit| used.get(unit).copied().unwrap_or(false));
+            let used: BTreeMap<&str, bool> = yard
+                .places()
+                .map(|(_, place)| (&*place.id, place.open_to_all))
+                .collect();
+            self.shared
+                .pool
+                .borrow_mut()
+                .sweep(now, |unit| used.get(unit).copied().unwrap_or(false));
         }
         if self.shared.phase.get() == Phase::Coming {
             self.come(now, news);
@@ -359,9 +452,10 @@
 
     /// Asks one hut, a next one each time: all relays in the same order, so that those that start at once share rounds.
     fn ask_revisions(&self, nth: usize) {
-        let mut huts: Vec<(&str, SocketAddrV4)> = (self.cairns.alive().filter(|member| member.core))
-            .map(|hut| (hut.name.as_str(), self.cairns.address(hut)))
-            .collect();
+        let mut huts: Vec<(&str, SocketAddrV4)> =
+            (self.cairns.alive().filter(|member| member.core))
+                .map(|hut| (hut.name.as_str(), self.cairns.address(hut)))
+                .collect();
         huts.sort_unstable();
         let seeds = &self.shared.settings.seed_nodes;
         let port = self.shared.settings.internal_ports[0];
@@ -383,8 +477,14 @@
     fn mark_silent(&mut self, now: u64) {
         // Only every few beats are passed on.
         let patience = (EVERY_BEAT + SILENT_BEATS) * self.shared.settings.heartbeat_ms + 500;
-        let silent = |unit: &beechcroft_registry::Unit| now.saturating_sub(unit.heard_at) > patience;
-        let known = || self.cairns.units.all().filter(|unit| unit.note.state == State::Ready);
+        let silent =
+            |unit: &beechcroft_registry::Unit| now.saturating_sub(unit.heard_at) > patience;
+        let known = || {
+            self.cairns
+                .units
+                .all()
+                .filter(|unit| unit.note.state == State::Ready)
+        };
         let many = known().filter(|unit| silent(unit)).count() * 2 > known().count();
         let mut yard = self.shared.yard.borrow_mut();
         for unit in known() {
@@ -404,7 +504,9 @@
         let mut judges = self.shared.judges.borrow_mut();
         let mut signs = Vec::new();
         for (service, rollout) in &orders.rollouts {
-            let Some(judge) = judges.get_mut(service) else { continue };
+            let Some(judge) = judges.get_mut(service) else {
+                continue;
+            };
             let Stage::Active(stage) = rollout.stage else {
                 judge.ends();
                 continue;
@@ -413,30 +515,43 @@
             let since = match self.stages.get(service) {
                 Some(&(begun, at, since)) if (begun, at) == (rollout.begun, stage) => since,
                 _ => {
-                    self.stages.insert(service.clone(), (rollout.begun, stage, now));
+                    self.stages
+                        .insert(service.clone(), (rollout.begun, stage, now));
                     now
                 }
             };
             let me = &self.cairns.me.name;
             let peers = self.cairns.signs(now, service);
-            let peers = peers.filter(|s| s.relay != *me && (s.begun, s.stage) == (rollout.begun, stage));
+            let peers =
+                peers.filter(|s| s.relay != *me && (s.begun, s.stage) == (rollout.begun, stage));
             let words: Vec<Word> = peers
                 .map(|s| Word {
                     alarm: s.alarm,
                     divergence: f64::from(s.divergence),
-                    count: Count { trials: s.trials, failures: s.failures },
-                    units: s.units.iter().map(|&(unit, t, f)| (unit, count_of(t, f))).collect(),
+                    count: Count {
+                        trials: s.trials,
+                        failures: s.failures,
+                    },
+                    units: s
+                        .units
+                        .iter()
+                        .map(|&(unit, t, f)| (unit, count_of(t, f)))
+                        .collect(),
                     times: s.times.iter().map(|&count| count.into()).collect(),
                 })
                 .collect();
-            let Some(stand) = judge.tick(&words) else { continue };
+            let Some(stand) = judge.tick(&words) else {
+                continue;
+            };
             let short = |n: u32| n.min(u32::from(u16::MAX)) as u16;
             if stand.back && now >= self.back_at {
                 self.back_at = now + BACK_MS;
                 log::info!("guide: Votes {service} back: {stand:?}, peers {words:?}.");
                 self.vote_back(service, rollout.begun);
             }
-            let asked = self.shared.share(service, |share| share.asked(rollout.begun, stage));
+            let asked = self
+                .shared
+                .share(service, |share| share.asked(rollout.begun, stage));
             if sign {
                 self.count += 1;
                 signs.push(Sign {
@@ -459,11 +574,21 @@
                         .map(|&(unit, c)| (unit, short(c.trials), short(c.failures)))
                         .collect(),
                     times: {
-                        let bins =
-                            stand.times.iter().rposition(|&count| count > 0).map_or(0, |last| last + 1);
-                        stand.times[..bins].iter().map(|&count| short(count)).collect()
+                        let bins = stand
+                            .times
+                            .iter()
+                            .rposition(|&count| count > 0)
+                            .map_or(0, |last| last + 1);
+                        stand.times[..bins]
+                            .iter()
+                            .map(|&count| short(count))
+                            .collect()
+                    },
+                    old_open: if stage == LAST {
+                        self.old_open(service)
+                    } else {
+                        0
                     },
-                    old_open: if stage == LAST { self.old_open(service) } else { 0 },
                 });
             }
         }
@@ -478,22 +603,45 @@
         let table = self.shared.table.borrow().clone();
         let Some(table) = table else { return };
         let mut crowds = self.shared.crowds.borrow_mut();
-        crowds.retain(|name, _| table.services.iter().any(|s| s.name == *name && s.usual_places > 0));
+        crowds.retain(|name, _| {
+            table
+                .services
+                .iter()
+                .any(|s| s.name == *name && s.usual_places > 0)
+        });
         let mut words = Vec::new();
         let mine = &self.cairns.me.region;
-        let beside = 1 + self.cairns.alive().filter(|m| !m.core && m.region == *mine).count();
-        for service in table.services.iter().filter(|service| service.usual_places > 0) {
+        let beside = 1 + self
+            .cairns
+            .alive()
+            .filter(|m| !m.core && m.region == *mine)
+            .count();
+        for service in table
+            .services
+            .iter()
+            .filter(|service| service.usual_places > 0)
+        {
             let crowd = crowds.entry(service.name.clone()).or_default();
             let yard = self.shared.yard.borrow();
-            let places = yard.places().filter(|(of, place)| *of == service.name && place.open_to_all);
-            let (units, slots) =
-                places.fold((0, 0), |(units, slots), (_, p)| (units + 1, slots + p.capacity));
-            let took = self.shared.took_ms.borrow().get(&service.name).copied().unwrap_or(100.0);
+            let places = yard
+                .places()
+                .filter(|(of, place)| *of == service.name && place.open_to_all);
+            let (units, slots) = places.fold((0, 0), |(units, slots), (_, p)| {
+                (units + 1, slots + p.capacity)
+            });
+            let took = self
+                .shared
+                .took_ms
+                .borrow()
+                .get(&service.name)
+                .copied()
+                .unwrap_or(100.0);
             let bears = f64::from(slots) / f64::max(units as f64, 1.0) / took.max(1.0) * 1000.0;
             crowd.tick(now, service.usual_places, bears, units, beside);
             if let Some(word) = crowd.word(now) {
                 self.count += 1;
-                let (relay, incarnation) = (self.cairns.me.name.clone(), self.cairns.me.incarnation);
+                let (relay, incarnation) =
+                    (self.cairns.me.name.clone(), self.cairns.me.incarnation);
                 words.push(Crowded {
                     relay,
                     incarnation,
@@ -511,24 +659,48 @@
     fn verdicts(&mut self) {
         let table = self.shared.table.borrow().clone();
         let Some(table) = table else { return };
-        let ruled = |name: &str| table.services.iter().any(|s| s.name == name && s.unfit.is_some());
+        let ruled = |name: &str| {
+            table
+                .services
+                .iter()
+                .any(|s| s.name == name && s.unfit.is_some())
+        };
         self.benches.retain(|name, _| ruled(name));
         self.owns.retain(|name, _| ruled(name));
         let mut seen = self.shared.seen.take();
         let clock = self.shared.ground.wall().as_secs();
         let mut words = Vec::new();
-        let regions: std::collections::BTreeSet<&str> =
-            self.shared.settings.zones.values().map(String::as_str).collect();
+        let regions: std::collections::BTreeSet<&str> = self
+            .shared
+            .settings
+            .zones
+            .values()
+            .map(String::as_str)
+            .collect();
         let regions = regions.len().max(1);
         for service in &table.services {
-            let Some(rules) = &service.unfit else { continue };
+            let Some(rules) = &service.unfit else {
+                continue;
+            };
             let bench = self.benches.entry(service.name.clone()).or_default();
             bench.pass(clock as u32);
             let asked = bench.asked();
             let mine = seen.remove(&service.name).unwrap_or_default();
-            let counts = mine.into_iter().map(|(id, count)| (short(&id), count)).collect();
-            let units = self.owns.entry(service.name.clone()).or_default().tells(counts, &asked);
-            let Member { name, region, incarnation, .. } = &self.cairns.me;
+            let counts = mine
+                .into_iter()
+                .map(|(id, count)| (short(&id), count))
+                .collect();
+            let units = self
+                .owns
+                .entry(service.name.clone())
+                .or_default()
+                .tells(counts, &asked);
+            let Member {
+                name,
+                region,
+                incarnation,
+                ..
+            } = &self.cairns.me;
             if !units.is_empty() {
                 let (relay, region, service) = (name.clone(), region.clone(), service.name.clone());
                 let word = beechcroft_outlier::Word {
@@ -559,17 +731,27 @@
 
     fn old_open(&self, service: &str) -> u32 {
         let yard = self.shared.yard.borrow();
-        let old = yard.places().filter(|(of, place)| *of == service && place.side == Side::Base);
+        let old = yard
+            .places()
+            .filter(|(of, place)| *of == service && place.side == Side::Base);
         old.map(|(_, place)| place.open).sum()
     }
 
     /// The vote goes to every core machine: whichever reaches a majority carries it out.
     fn vote_back(&self, service: &str, begun: u64) {
-        let Ok(bytes) = postcard::to_stdvec(&(service, begun)) else { return };
+        let Ok(bytes) = postcard::to_stdvec(&(service, begun)) else {
+            return;
+        };
         for hut in self.cairns.alive().filter(|member| member.core) {
-            let (errands, bytes, to) = (self.errands.clone(), bytes.clone(), self.cairns.address(hut));
+            let (errands, bytes, to) = (
+                self.errands.clone(),
+                bytes.clone(),
+                self.cairns.address(hut),
+            );
             spawn_local(async move {
-                let _ = errands.run(to, "/back", bytes, Duration::from_millis(800)).await;
+                let _ = errands
+                    .run(to, "/back", bytes, Duration::from_millis(800))
+                    .await;
             });
         }
     }
--- a/crates/beechcroft-proxy/src/main.rs
+++ b/crates/beechcroft-proxy/src/main.rs
@@ -35,7 +35,10 @@
     let done = match flags::Trail::from_env_or_exit().subcommand {
         flags::TrailCmd::Run(run) => run_program(
             run.log.as_deref().unwrap_or("warn"),
-            Usual { places: run.places.unwrap_or(0), verdicts: run.verdicts },
+            Usual {
+                places: run.places.unwrap_or(0),
+                verdicts: run.verdicts,
+            },
         ),
         flags::TrailCmd::Check(check) => lifecycle::check(&check.file),
     };
@@ -53,8 +56,10 @@
         .and_then(|logger| logger.log_to_stderr().start())
         .map_err(|e| e.to_string())?;
     let settings = Settings::load()?;
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|e| e.to_string())?;
     runtime.block_on(tokio::task::LocalSet::new().run_until(async move {
         let outside = Outside::machine(&settings);
         run(settings, usual, outside).await
--- a/crates/beechcroft-proxy/src/offer.rs
+++ b/crates/beechcroft-proxy/src/offer.rs
@@ -48,7 +48,10 @@
         if !ends && (line.clean() || !stands(Guard::CleanConnections)) {
             self.kept = true;
             let now = self.shared.now();
-            self.shared.pool.borrow_mut().keep(now, &self.unit, line, reply.keep_alive_s);
+            self.shared
+                .pool
+                .borrow_mut()
+                .keep(now, &self.unit, line, reply.keep_alive_s);
         }
     }
 }
@@ -78,7 +81,9 @@
 /// The unit's answer, or how the offer ended; with it, how many requests the unit
 /// says it has, and its slots.
 pub async fn make(
-    shared: &Rc<Shared>, offer: &mut Offer<'_>, told: &mut Option<(u32, u32)>,
+    shared: &Rc<Shared>,
+    offer: &mut Offer<'_>,
+    told: &mut Option<(u32, u32)>,
 ) -> Result<Answer, End> {
     let (mut line, slot) = connect(shared, offer).await?;
     send(&mut line, offer).await?;
@@ -105,12 +110,19 @@
             Heard::Answer => break (reply, None),
         }
     };
-    *told = reply.load.map(|(running, waiting, slots)| (running + waiting, slots));
+    *told = reply
+        .load
+        .map(|(running, waiting, slots)| (running + waiting, slots));
     let mut body = Body::new(reply.framing);
     let mut held = Vec::new();
-    let large = !matches!(reply.framing, Some(Framing::Length(length)) if length <= 2 * PIECE as u64);
+    let large =
+        !matches!(reply.framing, Some(Framing::Length(length)) if length <= 2 * PIECE as u64);
     // Over a thin link, holding a large answer would take as long again as sending it.
-    let most = if large && shared.is_thin() { 2 * PIECE } else { HELD_BYTES };
+    let most = if large && shared.is_thin() {
+        2 * PIECE
+    } else {
+        HELD_BYTES
+    };
     while !body.done() && held.len() < most {
         let before = held.len();
         part(&mut body, &mut line, &mut held, offer.until).await?;
@@ -122,17 +134,37 @@
         slot.keep(line, offer.ask, &reply);
         None
     } else {
-        Some(Rest { line, body, guard: slot })
+        Some(Rest {
+            line,
+            body,
+            guard: slot,
+        })
     };
     match not_run {
         Some(end) => Err(end),
-        None => Ok(Answer { reply, body: held, rest }),
+        None => Ok(Answer {
+            reply,
+            body: held,
+            rest,
+        }),
     }
 }
 
 fn head(reply: &Reply) -> Head<'_> {
-    let Reply { status, not_executed, sealed, encoded, .. } = *reply;
-    Head { id: reply.id.as_deref(), status, not_executed, sealed, encoded }
+    let Reply {
+        status,
+        not_executed,
+        sealed,
+        encoded,
+        ..
+    } = *reply;
+    Head {
+        id: reply.id.as_deref(),
+        status,
+        not_executed,
+        sealed,
+        encoded,
+    }
 }
 
 fn is_head(ask: &Ask) -> bool {
@@ -141,7 +173,11 @@
 
 async fn connect(shared: &Rc<Shared>, offer: &Offer<'_>) -> Result<(Line, Slot), End> {
     let now = shared.now();
-    let slot = || Slot { shared: shared.clone(), unit: offer.unit.clone(), kept: false };
+    let slot = || Slot {
+        shared: shared.clone(),
+        unit: offer.unit.clone(),
+        kept: false,
+    };
     if let Some(line) = shared.pool.borrow_mut().take(now, &offer.unit, offer.sure) {
         return Ok((line, slot()));
     }
@@ -159,7 +195,10 @@
 
 async fn send(line: &mut Line, offer: &mut Offer<'_>) -> Result<(), End> {
     let ask = offer.ask;
-    let left = offer.until.saturating_duration_since(Instant::now()).as_millis();
+    let left = offer
+        .until
+        .saturating_duration_since(Instant::now())
+        .as_millis();
     let mut bytes = Vec::with_capacity(256 + ask.lines.len() + offer.body.len());
     bytes.extend(ask.method.as_bytes());
     bytes.push(b' ');
@@ -167,13 +206,21 @@
     bytes.extend(b" HTTP/1.1\r\n");
     bytes.extend(&ask.lines);
     bytes.extend(
-        format!("Beechcroft-Time-Budget: {left}\r\nBeechcroft-Target-Unit: {}\r\n", offer.unit).as_bytes(),
+        format!(
+            "Beechcroft-Time-Budget: {left}\r\nBeechcroft-Target-Unit: {}\r\n",
+            offer.unit
+        )
+        .as_bytes(),
     );
     let whole = offer.more.is_none();
     match ask.framing {
         None => {}
-        Some(_) if whole => bytes.extend(format!("Content-Length: {}\r\n", offer.body.len()).as_bytes()),
-        Some(Framing::Length(length)) => bytes.extend(format!("Content-Length: {length}\r\n").as_bytes()),
+        Some(_) if whole => {
+            bytes.extend(format!("Content-Length: {}\r\n", offer.body.len()).as_bytes())
+        }
+        Some(Framing::Length(length)) => {
+            bytes.extend(format!("Content-Length: {length}\r\n").as_bytes())
+        }
         Some(_) => bytes.extend(b"Transfer-Encoding: chunked\r\n"),
     }
     bytes.extend(b"\r\n");
@@ -181,7 +228,10 @@
     push_part(&mut bytes, offer.body, chunked);
     // If not even the first bytes leave, nothing has been sent.
     let first = loop {
-        if timeout_at(offer.until, line.stream.writable()).await.is_err() {
+        if timeout_at(offer.until, line.stream.writable())
+            .await
+            .is_err()
+        {
             return Err(End::NotSent);
         }
         match line.stream.try_write(&bytes) {
@@ -192,13 +242,21 @@
     };
     let until = offer.until;
     let rest = async {
-        let part_left = if stands(Guard::PartlySent) { End::Unclear } else { End::NotSent };
+        let part_left = if stands(Guard::PartlySent) {
+            End::Unclear
+        } else {
+            End::NotSent
+        };
         line.write(&bytes[first..]).await.map_err(|_| part_left)?;
-        let Some((client, body)) = &mut offer.more else { return Ok(()) };
+        let Some((client, body)) = &mut offer.more else {
+            return Ok(());
+        };
         let mut some = Vec::new();
         while !body.done() {
             some.clear();
-            body.next(client, &mut some).await.map_err(|_| End::Unclear)?;
+            body.next(client, &mut some)
+                .await
+                .map_err(|_| End::Unclear)?;
             bytes.clear();
             push_part(&mut bytes, &some, chunked);
             line.write(&bytes).await.map_err(|_| End::Unclear)?;
@@ -245,7 +303,12 @@
     }
 }
 
-async fn part(body: &mut Body, line: &mut Line, out: &mut Vec<u8>, until: Instant) -> Result<(), End> {
+async fn part(
+    body: &mut Body,
+    line: &mut Line,
+    out: &mut Vec<u8>,
+    until: Instant,
+) -> Result<(), End> {
     match timeout_at(until, body.next(line, out)).await {
         Err(_) => Err(End::Slow),
         Ok(Err(_)) => Err(End::Unclear),
--- a/crates/beechcroft-proxy/src/pool.rs
+++ b/crates/beechcroft-proxy/src/pool.rs
@@ -32,7 +32,12 @@
     /// A connection that is surely alive. `sure`: the request may not run twice.
     pub fn take(&mut self, now: u64, unit: &str, sure: bool) -> Option<Line> {
         let kept = self.0.get_mut(unit)?;
-        while let Some(Idle { line, since, keep_ms }) = kept.idle.pop() {
+        while let Some(Idle {
+            line,
+            since,
+            keep_ms,
+        }) = kept.idle.pop()
+        {
             let age = now.saturating_sub(since);
             if age < if sure { keep_ms / 2 } else { keep_ms }
                 && (line.clean() || !stands(Guard::CleanConnections))
@@ -69,10 +74,16 @@
 
     /// A connection may be used again.
     pub fn keep(&mut self, now: u64, unit: &str, mut line: Line, keep_alive_s: Option<u64>) {
-        let Some(kept) = self.0.get_mut(unit) else { return };
+        let Some(kept) = self.0.get_mut(unit) else {
+            return;
+        };
         line.rest();
         let keep_ms = keep_alive_s.map_or(KEEP_MS, |s| (s as f64 * 1000.0 * KEEP_PART) as u64);
-        kept.idle.push(Idle { line, since: now, keep_ms });
+        kept.idle.push(Idle {
+            line,
+            since: now,
+            keep_ms,
+        });
     }
 
     /// Closes what has been idle for too long, and what belongs to units that get nothing more.
@@ -80,7 +91,8 @@
         self.0.retain(|unit, kept| {
             let used = used(unit);
             let before = kept.idle.len();
-            kept.idle.retain(|idle| used && now.saturating_sub(idle.since) < idle.keep_ms);
+            kept.idle
+                .retain(|idle| used && now.saturating_sub(idle.since) < idle.keep_ms);
             kept.open -= before - kept.idle.len();
             kept.open > 0
         });
--- a/crates/beechcroft-proxy/src/run.rs
+++ b/crates/beechcroft-proxy/src/run.rs
@@ -30,9 +30,14 @@
 /// Runs until it is told to leave and has left in order.
 pub async fn run(settings: Settings, usual: Usual, outside: Outside) -> Result<(), String> {
     let said = |e: std::io::Error| e.to_string();
-    let Outside { ground, term, seeds } = outside;
+    let Outside {
+        ground,
+        term,
+        seeds,
+    } = outside;
     let incarnation = ground.wall().as_millis() as u64;
-    let salt: u64 = incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(u32::from(settings.ip)) << 20;
+    let salt: u64 =
+        incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(u32::from(settings.ip)) << 20;
     let me = Member {
         name: settings.node_name.clone(),
         ip: settings.ip,
@@ -53,18 +58,31 @@
     let shared = Rc::new(shared);
     let (queue, mut commands) = mpsc::unbounded_channel();
     let errands = Errands::new(ground.clone());
-    let mut guide = Guide::new(shared.clone(), me, salt, post.clone(), errands, queue.clone());
+    let mut guide = Guide::new(
+        shared.clone(),
+        me,
+        salt,
+        post.clone(),
+        errands,
+        queue.clone(),
+    );
 
     if let Some(at) = settings.listen.readiness {
         let shared = shared.clone();
-        spawn_local(desk::serve(ground.clone(), at, Bounds::default(), move |call| {
-            ready(shared.clone(), call)
-        }));
+        spawn_local(desk::serve(
+            ground.clone(),
+            at,
+            Bounds::default(),
+            move |call| ready(shared.clone(), call),
+        ));
     }
     let inner = queue.clone();
-    spawn_local(desk::serve(ground.clone(), inside, Bounds::default(), move |call| {
-        relays(inner.clone(), call)
-    }));
+    spawn_local(desk::serve(
+        ground.clone(),
+        inside,
+        Bounds::default(),
+        move |call| relays(inner.clone(), call),
+    ));
     if let Some(at) = settings.listen.ingress {
         let mut listener = ground.listen(at).await.map_err(said)?;
         let (shared, queue) = (shared.clone(), queue.clone());
@@ -76,9 +94,11 @@
             }
             loop {
                 match listener.accept().await {
-                    Ok((stream, _)) => {
-                        drop(spawn_local(serve::client(shared.clone(), queue.clone(), stream)))
-                    }
+                    Ok((stream, _)) => drop(spawn_local(serve::client(
+                        shared.clone(),
+                        queue.clone(),
+                        stream,
+                    ))),
                     Err(e) => {
                         log::warn!("serve: Accepting failed: {e}.");
                         sleep(Duration::from_millis(20)).await;
@@ -89,7 +109,15 @@
     }
     let every = Duration::from_millis(50);
     let tick = || Command::Tick;
-    lifecycle::feed(post, every, queue.clone(), Command::Letter, tick, seeds, Command::Seeds);
+    lifecycle::feed(
+        post,
+        every,
+        queue.clone(),
+        Command::Letter,
+        tick,
+        seeds,
+        Command::Seeds,
+    );
     let mut left = std::pin::pin!(leave(shared.clone(), queue, term));
     loop {
         tokio::select! {
@@ -142,7 +170,11 @@
     let register = usize::from(call.body.first().copied().unwrap_or(0) & 1);
     let (answer, told) = tokio::sync::oneshot::channel::<Value>();
     let _ = queue.send(Command::Copy(register, answer));
-    match told.await.ok().and_then(|value| postcard::to_stdvec(&value).ok()) {
+    match told
+        .await
+        .ok()
+        .and_then(|value| postcard::to_stdvec(&value).ok())
+    {
         Some(bytes) => Answer::bytes(bytes),
         None => Kind::NotYet.into(),
     }
--- a/crates/beechcroft-proxy/src/serve.rs
+++ b/crates/beechcroft-proxy/src/serve.rs
@@ -31,7 +31,12 @@
 
 /// One request; whether another may follow.
 async fn one(shared: &Rc<Shared>, guide: &Queue, line: &mut Line, pins: &RefCell<Pins>) -> bool {
-    let limits = shared.table.borrow().as_ref().map(|table| table.limits.clone()).unwrap_or_default();
+    let limits = shared
+        .table
+        .borrow()
+        .as_ref()
+        .map(|table| table.limits.clone())
+        .unwrap_or_default();
     let idle = Duration::from_millis(limits.idle_timeout_ms);
     if line.unread().is_empty() && !matches!(timeout(idle, line.fill()).await, Ok(Ok(1..))) {
         return false;
@@ -65,7 +70,12 @@
 }
 
 async fn request(
-    shared: &Rc<Shared>, guide: &Queue, line: &mut Line, ask: Ask, began: Instant, max_body: u64,
+    shared: &Rc<Shared>,
+    guide: &Queue,
+    line: &mut Line,
+    ask: Ask,
+    began: Instant,
+    max_body: u64,
     pins: &RefCell<Pins>,
 ) -> bool {
     let keep = ask.keep && shared.phase.get() == Phase::Ready;
@@ -73,8 +83,14 @@
     // A connection whose body was not read cannot carry another request.
     let refuse_keep = keep && (!has_body || !stands(Guard::UnreadBody));
     let table = shared.table.borrow().clone();
-    let Some(table) = table.filter(|_| !matches!(shared.phase.get(), Phase::Coming | Phase::Closing)) else {
-        let kind = if shared.phase.get() == Phase::Coming { Kind::NotYet } else { Kind::Leaving };
+    let Some(table) =
+        table.filter(|_| !matches!(shared.phase.get(), Phase::Coming | Phase::Closing))
+    else {
+        let kind = if shared.phase.get() == Phase::Coming {
+            Kind::NotYet
+        } else {
+            Kind::Leaving
+        };
         answer_own(line, kind, 300, false).await;
         return false;
     };
@@ -96,7 +112,12 @@
     if ask.expects
         && has_body
         && line.unread().is_empty()
-        && !write_within(line, b"HTTP/1.1 100 Continue\r\n\r\n", Duration::from_secs(1)).await
+        && !write_within(
+            line,
+            b"HTTP/1.1 100 Continue\r\n\r\n",
+            Duration::from_secs(1),
+        )
+        .await
     {
         return false;
     }
@@ -122,15 +143,30 @@
         way.service(draw)
     };
     let key = (table.services[service].usual_places > 0).then(|| {
-        let key =
-            key_of(&table.services[service].name, way.key(&ask.target, |name| ask.header(name)).as_bytes());
+        let key = key_of(
+            &table.services[service].name,
+            way.key(&ask.target, |name| ask.header(name)).as_bytes(),
+        );
         if way.repeatable() {
             let mut crowds = shared.crowds.borrow_mut();
-            crowds.entry(table.services[service].name.clone()).or_default().saw(key);
+            crowds
+                .entry(table.services[service].name.clone())
+                .or_default()
+                .saw(key);
         }
         key
     });
-    let task = Task { table: &table, route, way, service, ask: &ask, held: &held, until, key, pins };
+    let task = Task {
+        table: &table,
+        route,
+        way,
+        service,
+        ask: &ask,
+        held: &held,
+        until,
+        key,
+        pins,
+    };
     let done = match more {
         Some(body) => carry::streamed(shared, guide, &task, (line, body)).await,
         None => carry::held(shared, guide, &task, line).await,
@@ -139,7 +175,11 @@
     match done {
         Final::Gone => false,
         Final::Own(kind, back_ms) => {
-            log::debug!("serve: {} {} ends as {kind:?}.", ask.id.as_deref().unwrap_or("-"), ask.target);
+            log::debug!(
+                "serve: {} {} ends as {kind:?}.",
+                ask.id.as_deref().unwrap_or("-"),
+                ask.target
+            );
             answer_own(line, kind, back_ms, keep).await && keep
         }
         Final::Unit(answer) => pass_on(shared, line, &ask, *answer, keep, until).await && keep,
@@ -148,7 +188,12 @@
 
 /// Sends a unit's answer on as it is. Whether the connection is still sound.
 async fn pass_on(
-    shared: &Shared, line: &mut Line, ask: &Ask, answer: Answer, keep: bool, until: Instant,
+    shared: &Shared,
+    line: &mut Line,
+    ask: &Ask,
+    answer: Answer,
+    keep: bool,
+    until: Instant,
 ) -> bool {
     let Answer { reply, body, rest } = answer;
     let mut bytes = Vec::with_capacity(256 + reply.lines.len() + body.len());
@@ -163,20 +208,35 @@
         (_, Some(_)) => bytes.extend(b"Transfer-Encoding: chunked\r\n"),
         (_, None) => bytes.extend(format!("Content-Length: {}\r\n", body.len()).as_bytes()),
     }
-    bytes.extend(if keep { &b"\r\n"[..] } else { &b"Connection: close\r\n\r\n"[..] });
+    bytes.extend(if keep {
+        &b"\r\n"[..]
+    } else {
+        &b"Connection: close\r\n\r\n"[..]
+    });
     push_part(&mut bytes, &body, chunked);
     drop(body);
     let patience = Duration::from_secs(10);
     if !write_paced(shared, line, &bytes, patience).await {
         return false;
     }
-    let Some(Rest { line: mut unit, body: mut left, guard, .. }) = rest else { return true };
+    let Some(Rest {
+        line: mut unit,
+        body: mut left,
+        guard,
+        ..
+    }) = rest
+    else {
+        return true;
+    };
     let mut some = Vec::new();
     while !left.done() {
         some.clear();
         bytes.clear();
         // What breaks off here must not look whole: the connection is closed without its end.
-        if !matches!(timeout_at(until, left.next(&mut unit, &mut some)).await, Ok(Ok(()))) {
+        if !matches!(
+            timeout_at(until, left.next(&mut unit, &mut some)).await,
+            Ok(Ok(()))
+        ) {
             if stands(Guard::BrokenOff) {
                 return false;
             }
--- a/crates/beechcroft-proxy/src/shared.rs
+++ b/crates/beechcroft-proxy/src/shared.rs
@@ -132,14 +132,20 @@
     pub fn share<T>(&self, service: &str, of: impl FnOnce(&mut Share) -> T) -> T {
         let mut shares = self.shares.borrow_mut();
         if !shares.contains_key(service) {
-            shares.insert(service.to_owned(), Share::new(self.yard.borrow_mut().draw(), self.edges.get()));
+            shares.insert(
+                service.to_owned(),
+                Share::new(self.yard.borrow_mut().draw(), self.edges.get()),
+            );
         }
         of(shares.get_mut(service).expect("put there"))
     }
 
     /// A further try at a service, if the budget has one.
     pub fn further_try(&self, service: &str) -> bool {
-        self.tries.borrow_mut().get_mut(service).is_some_and(Tries::take)
+        self.tries
+            .borrow_mut()
+            .get_mut(service)
+            .is_some_and(Tries::take)
     }
 
     /// A first try at a service.
@@ -148,7 +154,10 @@
         let mut tries = self.tries.borrow_mut();
         if !tries.contains_key(service) {
             let edges = self.edges.get().max(4);
-            tries.insert(service.to_owned(), Tries::new(bounds.retry_budget, bounds.retry_extra, edges));
+            tries.insert(
+                service.to_owned(),
+                Tries::new(bounds.retry_budget, bounds.retry_extra, edges),
+            );
         }
         tries.get_mut(service).expect("put there").asked();
     }
--- a/crates/beechcroft-proxy/src/start.rs
+++ b/crates/beechcroft-proxy/src/start.rs
@@ -46,7 +46,9 @@
             return false;
         }
         let since = *self.held_since.get_or_insert(now);
-        let confirmed = self.confirmed.is_some_and(|least| held[0] >= least[0] && held[1] >= least[1]);
+        let confirmed = self
+            .confirmed
+            .is_some_and(|least| held[0] >= least[0] && held[1] >= least[1]);
         confirmed
             || !stands(Guard::ConfirmedStart)
             || (self.confirmed.is_none() && now >= since + UNCONFIRMED_MS)
--- a/crates/beechcroft-registry/src/lib.rs
+++ b/crates/beechcroft-registry/src/lib.rs
@@ -69,7 +69,10 @@
 }
 
 fn mark_of(id: &str, state: State) -> u32 {
-    (rapidhash_v3(id.as_bytes()).rotate_left(17).wrapping_mul(2 * state as u64 + 3) >> 32) as u32
+    (rapidhash_v3(id.as_bytes())
+        .rotate_left(17)
+        .wrapping_mul(2 * state as u64 + 3)
+        >> 32) as u32
 }
 
 impl Waymarks {
@@ -80,14 +83,25 @@
         match self.units.get_mut(&note.id) {
             None => {
                 self.ranges[range] ^= mark_of(&note.id, note.state);
-                self.units.insert(note.id.clone(), Unit { note, heard_at, warm_at });
+                self.units.insert(
+                    note.id.clone(),
+                    Unit {
+                        note,
+                        heard_at,
+                        warm_at,
+                    },
+                );
                 News::Change
             }
             Some(unit) => {
-                let (held, told) = ((unit.note.state, unit.note.sequence), (note.state, note.sequence));
+                let (held, told) = (
+                    (unit.note.state, unit.note.sequence),
+                    (note.state, note.sequence),
+                );
                 if told.1 > held.1 {
                     // A later beat of any state shows that the unit was alive then.
-                    (unit.note.sequence, unit.note.warm_left_ms) = (note.sequence, note.warm_left_ms);
+                    (unit.note.sequence, unit.note.warm_left_ms) =
+                        (note.sequence, note.warm_left_ms);
                     unit.heard_at = unit.heard_at.max(heard_at);
                     unit.warm_at = warm_at;
                 }
@@ -107,7 +121,11 @@
 
     /// Takes a word that a unit has ended; its beats are not counted any more.
     pub fn gone(&mut self, id: &str) -> bool {
-        let Some(unit) = self.units.get_mut(id).filter(|unit| unit.note.state != State::Gone) else {
+        let Some(unit) = self
+            .units
+            .get_mut(id)
+            .filter(|unit| unit.note.state != State::Gone)
+        else {
             return false;
         };
         self.ranges[range_of(id)] ^= mark_of(id, unit.note.state) ^ mark_of(id, State::Gone);
@@ -164,7 +182,10 @@
     pub fn note(&self, now: u64, id: &str) -> Option<Note> {
         let unit = self.units.get(id)?;
         let age = now.saturating_sub(unit.heard_at).min(u64::from(u32::MAX)) as u32;
-        Some(Note { age_ms: age, ..unit.note.clone() })
+        Some(Note {
+            age_ms: age,
+            ..unit.note.clone()
+        })
     }
 
     /// The ids in the ranges in which another copy differs.
@@ -213,7 +234,15 @@
                 let id = format!("i-{}", i % 20);
                 [
                     note(&id, State::Ready, 1),
-                    note(&id, if i % 3 == 0 { State::Draining } else { State::Ready }, 2),
+                    note(
+                        &id,
+                        if i % 3 == 0 {
+                            State::Draining
+                        } else {
+                            State::Ready
+                        },
+                        2,
+                    ),
                 ]
             })
             .collect();
@@ -230,7 +259,11 @@
         let differing: Vec<&str> = one.differing(&theirs).collect();
         assert!(differing.contains(&"i-7"));
         let theirs = one.digests();
-        for id in two.differing(&theirs).map(str::to_owned).collect::<Vec<_>>() {
+        for id in two
+            .differing(&theirs)
+            .map(str::to_owned)
+            .collect::<Vec<_>>()
+        {
             one.merge(9, two.note(9, &id).unwrap());
         }
         assert_eq!(one.digests(), two.digests());
@@ -239,7 +272,14 @@
     #[test]
     fn a_unit_told_of_late_is_as_warm_as_it_was_then() {
         let mut marks = Waymarks::default();
-        marks.merge(10_000, Note { warm_left_ms: 3000, age_ms: 1000, ..note("i", State::Ready, 1) });
+        marks.merge(
+            10_000,
+            Note {
+                warm_left_ms: 3000,
+                age_ms: 1000,
+                ..note("i", State::Ready, 1)
+            },
+        );
         assert_eq!(marks.get("i").unwrap().warm_at, 12_000);
     }
 }
--- a/crates/beechcroft-relay/src/life/command.rs
+++ b/crates/beechcroft-relay/src/life/command.rs
@@ -80,7 +80,10 @@
     /// What is to be run, if it is a relay.
     pub fn relay(self) -> Result<Relay, What> {
         match self.what {
-            None => Ok(Relay { files: Files::default(), log_format: Format::Text }),
+            None => Ok(Relay {
+                files: Files::default(),
+                log_format: Format::Text,
+            }),
             Some(What::Relay(relay)) => Ok(relay),
             Some(what) => Err(what),
         }
@@ -89,12 +92,18 @@
 
 impl Files {
     pub fn config(&self, holds: Holds) -> Result<Config, String> {
-        config::read(self.config.as_deref(), |name| std::env::var(name).ok(), holds)
+        config::read(
+            self.config.as_deref(),
+            |name| std::env::var(name).ok(),
+            holds,
+        )
     }
 
     pub fn operator(&self) -> Result<Operator, String> {
         let read = self.operator.as_ref().map(|path| Operator::read(path));
-        read.transpose().map(Option::unwrap_or_default).map_err(|fault| fault.to_string())
+        read.transpose()
+            .map(Option::unwrap_or_default)
+            .map_err(|fault| fault.to_string())
     }
 }
 
@@ -109,7 +118,16 @@
 
 /// What would hold: a name and a value each, files' own and derived.
 fn held(config: &Config, operator: &Operator) -> Vec<(String, String)> {
-    let Config { name, listen, discovery, sockets, names, rollouts, peers, .. } = config;
+    let Config {
+        name,
+        listen,
+        discovery,
+        sockets,
+        names,
+        rollouts,
+        peers,
+        ..
+    } = config;
     let table = operator.connections.as_ref();
     let budget = Budget::of(*sockets, table);
     let limits = limits(table, budget, &names.settings);
@@ -118,19 +136,48 @@
         ("name".to_owned(), name.clone()),
         ("listen".to_owned(), listen.to_string()),
         ("discovery".to_owned(), discovery.to_string()),
-        ("rollouts.address".to_owned(), or_none(rollouts.map(|at| at.to_string()))),
-        ("peers".to_owned(), or_none(peers.as_ref().map(|peers| peers.listen.to_string()))),
+        (
+            "rollouts.address".to_owned(),
+            or_none(rollouts.map(|at| at.to_string())),
+        ),
+        (
+            "peers".to_owned(),
+            or_none(peers.as_ref().map(|peers| peers.listen.to_string())),
+        ),
         ("limits.sockets".to_owned(), sockets.to_string()),
         ("tracks".to_owned(), names.tracks.join(" ")),
     ];
-    held.extend(operator.held().into_iter().map(|(table, key, value)| (format!("{table}.{key}"), value)));
+    held.extend(
+        operator
+            .held()
+            .into_iter()
+            .map(|(table, key, value)| (format!("{table}.{key}"), value)),
+    );
     held.extend([
-        ("clients: connections at most".to_owned(), limits.most.to_string()),
-        ("clients: of them waiting".to_owned(), limits.most_idle.to_string()),
-        ("clients: parked between tasks".to_owned(), limits.park.to_string()),
-        ("clients: wait for a request".to_owned(), format!("{:?}", limits.keep)),
-        ("clients: wait to be read".to_owned(), format!("{:?}", limits.wake_wait)),
-        ("units: connections at most".to_owned(), budget.units.to_string()),
+        (
+            "clients: connections at most".to_owned(),
+            limits.most.to_string(),
+        ),
+        (
+            "clients: of them waiting".to_owned(),
+            limits.most_idle.to_string(),
+        ),
+        (
+            "clients: parked between tasks".to_owned(),
+            limits.park.to_string(),
+        ),
+        (
+            "clients: wait for a request".to_owned(),
+            format!("{:?}", limits.keep),
+        ),
+        (
+            "clients: wait to be read".to_owned(),
+            format!("{:?}", limits.wake_wait),
+        ),
+        (
+            "units: connections at most".to_owned(),
+            budget.units.to_string(),
+        ),
     ]);
     held
 }
@@ -140,11 +187,16 @@
     let config = check.files.config(Holds::Environment)?;
     let held = held(&config, &operator);
     if check.json {
-        let object: serde_json::Map<_, _> =
-            held.into_iter().map(|(key, value)| (key, value.into())).collect();
+        let object: serde_json::Map<_, _> = held
+            .into_iter()
+            .map(|(key, value)| (key, value.into()))
+            .collect();
         return Ok(format!("{}\n", serde_json::Value::Object(object)));
     }
-    Ok(held.iter().map(|(key, value)| format!("{key:<32} {value}\n")).collect())
+    Ok(held
+        .iter()
+        .map(|(key, value)| format!("{key:<32} {value}\n"))
+        .collect())
 }
 
 fn explain(key: Option<&str>) -> Result<String, String> {
@@ -153,11 +205,15 @@
         return Ok(keys.iter().map(short).collect());
     };
     let is_meant = |key: &&Key| {
-        asked == key.table || asked == key.name || asked.split_once('.') == Some((key.table, key.name))
+        asked == key.table
+            || asked == key.name
+            || asked.split_once('.') == Some((key.table, key.name))
     };
     let meant: Vec<&Key> = keys.iter().filter(is_meant).collect();
     match meant[..] {
-        [] => Err(format!("explain: there is no key '{asked}'; `beechcroft explain` lists them all")),
+        [] => Err(format!(
+            "explain: there is no key '{asked}'; `beechcroft explain` lists them all"
+        )),
         [key] => Ok(whole(key)),
         _ => Ok(meant.into_iter().map(short).collect()),
     }
@@ -169,7 +225,19 @@
 }
 
 fn whole(key: &Key) -> String {
-    let Key { table, name, unit, default, least, most, text } = key;
-    let unit = if unit.is_empty() { String::new() } else { format!("unit     {unit}\n") };
+    let Key {
+        table,
+        name,
+        unit,
+        default,
+        least,
+        most,
+        text,
+    } = key;
+    let unit = if unit.is_empty() {
+        String::new()
+    } else {
+        format!("unit     {unit}\n")
+    };
     format!("{table}.{name}\n{text}\n\n{unit}default  {default}\nrange    {least} to {most}\n")
 }
--- a/crates/beechcroft-relay/src/life/config.rs
+++ b/crates/beechcroft-relay/src/life/config.rs
@@ -39,13 +39,18 @@
 
 /// Reads the file of the command line, or else the one that `PROXY_CONFIG` names.
 pub fn read(
-    file: Option<&Path>, variable: impl Fn(&str) -> Option<String>, holds: Holds,
+    file: Option<&Path>,
+    variable: impl Fn(&str) -> Option<String>,
+    holds: Holds,
 ) -> Result<Config, String> {
     let (source, path) = match file {
         Some(file) => ("--config", file.to_owned()),
         None => {
             let unset = "PROXY_CONFIG: not set, and no --config FILE given";
-            ("PROXY_CONFIG", PathBuf::from(variable("PROXY_CONFIG").ok_or(unset)?))
+            (
+                "PROXY_CONFIG",
+                PathBuf::from(variable("PROXY_CONFIG").ok_or(unset)?),
+            )
         }
     };
     let text = std::fs::read_to_string(&path);
@@ -53,8 +58,13 @@
     decode(&text, variable, holds)
 }
 
-pub fn decode(text: &str, variable: impl Fn(&str) -> Option<String>, holds: Holds) -> Result<Config, String> {
-    let all: Value = serde_json::from_str(text).map_err(|error| format!("PROXY_CONFIG: no JSON: {error}"))?;
+pub fn decode(
+    text: &str,
+    variable: impl Fn(&str) -> Option<String>,
+    holds: Holds,
+) -> Result<Config, String> {
+    let all: Value =
+        serde_json::from_str(text).map_err(|error| format!("PROXY_CONFIG: no JSON: {error}"))?;
     let stated = |key: &str, name: &str| {
         let (file, variable) = (text_at(&all, key)?, variable(name));
         if holds == Holds::File {
@@ -62,7 +72,9 @@
         }
         if let (Some(file), Some(variable)) = (&file, &variable) {
             if file != variable {
-                warn!("{name} is '{variable}', '{key}' of the file is '{file}': the variable holds");
+                warn!(
+                    "{name} is '{variable}', '{key}' of the file is '{file}': the variable holds"
+                );
             }
         }
         Ok::<_, String>(variable.or(file))
@@ -72,11 +84,17 @@
     let discovery = address(&needed("discovery", "PROXY_DISCOVERY")?, "discovery")?;
     let settings = all.get("settings").filter(|value| value.is_object());
     let settings = settings.ok_or_else(|| malformed("settings"))?;
-    let names = beechcroft_settings::read_value(settings).map_err(|what| format!("settings{what}"))?;
-    let news = all.pointer("/rollouts/news").filter(|news| !news.is_null()).cloned();
+    let names =
+        beechcroft_settings::read_value(settings).map_err(|what| format!("settings{what}"))?;
+    let news = all
+        .pointer("/rollouts/news")
+        .filter(|news| !news.is_null())
+        .cloned();
     let news = news.map(platform::decode_news).transpose();
     let known = all.get("known").filter(|known| !known.is_null());
-    let known = known.map(|known| Places::new(&names).decode(known.to_string().as_bytes())).transpose();
+    let known = known
+        .map(|known| Places::new(&names).decode(known.to_string().as_bytes()))
+        .transpose();
     Ok(Config {
         name: stated("name", "PROXY_NAME")?.unwrap_or_else(|| "relay".to_owned()),
         listen,
@@ -104,7 +122,8 @@
 }
 
 fn address(text: &str, key: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{key}: '{text}' is no address"))
+    text.parse()
+        .map_err(|_| format!("{key}: '{text}' is no address"))
 }
 
 fn address_at(all: &Value, pointer: &str) -> Result<Option<SocketAddr>, String> {
@@ -127,11 +146,17 @@
 }
 
 fn sockets(all: &Value) -> Result<usize, String> {
-    let stated = all.pointer("/limits/sockets").filter(|stated| !stated.is_null());
-    let sockets = stated.map_or(Some(SOCKETS), Value::as_u64).ok_or_else(|| malformed("limits.sockets"))?;
+    let stated = all
+        .pointer("/limits/sockets")
+        .filter(|stated| !stated.is_null());
+    let sockets = stated
+        .map_or(Some(SOCKETS), Value::as_u64)
+        .ok_or_else(|| malformed("limits.sockets"))?;
     let sockets = usize::try_from(sockets).unwrap_or(usize::MAX).min(1 << 20);
     if sockets < SOCKETS_MIN {
-        return Err(format!("limits.sockets: {sockets} is out of range, {SOCKETS_MIN} are needed"));
+        return Err(format!(
+            "limits.sockets: {sockets} is out of range, {SOCKETS_MIN} are needed"
+        ));
     }
     Ok(sockets)
 }
@@ -139,13 +164,29 @@
 /// Where relays are spoken to, if they may be.
 fn peers(all: &Value, names: &Named) -> Result<Option<Addresses>, String> {
     let settings = &names.settings;
-    let listen = address_at(all, "/peer_listen")?.filter(|_| settings.may_tell_peers && settings.relays > 1);
-    let Some(listen) = listen else { return Ok(None) };
-    let list = all.get("peers").and_then(Value::as_array).ok_or_else(|| malformed("peers"))?;
-    let peers = list.iter().map(|peer| address(peer.as_str().unwrap_or_default(), "peers"));
+    let listen =
+        address_at(all, "/peer_listen")?.filter(|_| settings.may_tell_peers && settings.relays > 1);
+    let Some(listen) = listen else {
+        return Ok(None);
+    };
+    let list = all
+        .get("peers")
+        .and_then(Value::as_array)
+        .ok_or_else(|| malformed("peers"))?;
+    let peers = list
+        .iter()
+        .map(|peer| address(peer.as_str().unwrap_or_default(), "peers"));
     let peers = peers.collect::<Result<Vec<_>, _>>()?;
     if peers.len() != settings.relays as usize {
-        return Err(format!("peers: {} addresses for {} relays", peers.len(), settings.relays));
+        return Err(format!(
+            "peers: {} addresses for {} relays",
+            peers.len(),
+            settings.relays
+        ));
     }
-    Ok(Some(Addresses { listen, peers, all: address_at(all, "/peers_all")? }))
+    Ok(Some(Addresses {
+        listen,
+        peers,
+        all: address_at(all, "/peers_all")?,
+    }))
 }
--- a/crates/beechcroft-relay/src/life/logs.rs
+++ b/crates/beechcroft-relay/src/life/logs.rs
@@ -21,23 +21,34 @@
 /// Begins to write lines, as `RUST_LOG` says; `info` if it says nothing. What still waits is written when the guard goes,
 /// within a second.
 pub fn begin(format: Format) -> WorkerGuard {
-    let lines = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(LINES);
+    let lines = NonBlockingBuilder::default()
+        .lossy(true)
+        .buffered_lines_limit(LINES);
     let (writer, guard) = lines.thread_name("log").finish(std::io::stderr());
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
-    let all = Subscriber::builder().with_env_filter(filter).with_writer(writer).with_ansi(false);
+    let all = Subscriber::builder()
+        .with_env_filter(filter)
+        .with_writer(writer)
+        .with_ansi(false);
     // A second one, as in a test that starts two relays, changes nothing.
     let _ = match format {
         Format::Text => {
             let message =
-                |writer: &mut Writer<'_>, field: &Field, value: &dyn std::fmt::Debug| match field.name() {
+                |writer: &mut Writer<'_>, field: &Field, value: &dyn std::fmt::Debug| match field
+                    .name()
+                {
                     "message" => write!(writer, "{value:?}"),
                     _ => Ok(()),
                 };
             tracing::subscriber::set_global_default(
-                all.with_target(false).fmt_fields(debug_fn(message)).finish(),
+                all.with_target(false)
+                    .fmt_fields(debug_fn(message))
+                    .finish(),
             )
         }
-        Format::Json => tracing::subscriber::set_global_default(all.json().flatten_event(true).finish()),
+        Format::Json => {
+            tracing::subscriber::set_global_default(all.json().flatten_event(true).finish())
+        }
     };
     guard
 }
