--- a/crates/beechcroft-relay/src/life/run.rs
+++ b/crates/beechcroft-relay/src/life/run.rs
@@ -34,22 +34,41 @@
             Ok(config) => config,
             Err(fault) => return error!("reload: {fault}; the former configuration holds"),
         };
-        info!("reload: discovery {}, rollouts.address {:?}", config.discovery, config.rollouts);
+        info!(
+            "reload: discovery {}, rollouts.address {:?}",
+            config.discovery, config.rollouts
+        );
         let _ = self.list.send(ToList::Moved(config.discovery));
         match (&self.platform, config.rollouts) {
             (Some(platform), Some(address)) => drop(platform.send(ToPlatform::Moved(address))),
             (None, None) => {}
-            _ => warn!("reload: rollouts.address came or went; the former holds until the next start"),
+            _ => warn!(
+                "reload: rollouts.address came or went; the former holds until the next start"
+            ),
         }
     }
 }
 
 /// From start to exit; an error is one line. `reread` gives the configuration as it is by then.
 pub async fn run(
-    config: Config, operator: Operator, mut signals: Signals, reread: impl Fn() -> Result<Config, String>,
+    config: Config,
+    operator: Operator,
+    mut signals: Signals,
+    reread: impl Fn() -> Result<Config, String>,
 ) -> Result<(), String> {
     let life = Life::begin();
-    let Config { name, listen, discovery, seed, sockets, peers, rollouts, news, known, names } = config;
+    let Config {
+        name,
+        listen,
+        discovery,
+        seed,
+        sockets,
+        peers,
+        rollouts,
+        news,
+        known,
+        names,
+    } = config;
     let table = operator.connections.as_ref();
     let budget = Budget::of(sockets, table);
     let bound = TcpListener::bind(listen)
@@ -68,7 +87,8 @@
     let (follow, followed) = mpsc::unbounded_channel();
     let discovery = Discovery::new(discovery, Places::new(&names));
     let list = ListActor::new(discovery, known, module.clone());
-    news.into_iter().for_each(|news| drop(module.send(Event::News(news))));
+    news.into_iter()
+        .for_each(|news| drop(module.send(Event::News(news))));
 
     let peers = match peers {
         Some(addresses) => {
@@ -82,16 +102,31 @@
     let (reached, first_news) = oneshot::channel();
     let (tracks, wait) = (names.tracks.clone(), names.settings.answer_wait);
     let platform = rollouts.map(|at| platform::spawn(at, wait, tracks, module.clone(), reached));
-    let followers = Followers { list: follow.clone(), platform: platform.clone() };
+    let followers = Followers {
+        list: follow.clone(),
+        platform: platform.clone(),
+    };
     let units = Shared::new(module.clone(), budget.units, &names.transport);
-    let wires = Wires { units, list: follow, platform, peers };
+    let wires = Wires {
+        units,
+        list: follow,
+        platform,
+        peers,
+    };
     let actor = ModuleActor::start(&names.settings, seed, Clock::start(), wires, module.clone());
     let mut module_ends = tokio::spawn(actor.run(events));
     tokio::spawn(list.run(followed, listed));
 
     let front = Front::new(&names, module, life.clone());
-    let probe = table.map_or(Duration::ZERO, |table| Duration::from_secs_f64(table.probe_s));
-    let lot = Lot::new(listener, limits(table, budget, &names.settings), probe, router(front));
+    let probe = table.map_or(Duration::ZERO, |table| {
+        Duration::from_secs_f64(table.probe_s)
+    });
+    let lot = Lot::new(
+        listener,
+        limits(table, budget, &names.settings),
+        probe,
+        router(front),
+    );
     let lot = lot.map_err(|error| format!("listen: {listen}: {error}"))?;
     let clients = lot.open();
     let mut leaves = life.watch();
@@ -122,7 +157,10 @@
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        if timeout((longest + LEAVE_MARGIN).saturating_sub(LINGER), closed).await.is_err() {
+        if timeout((longest + LEAVE_MARGIN).saturating_sub(LINGER), closed)
+            .await
+            .is_err()
+        {
             warn!("{} connections are still open", clients.count());
         }
         life.enter(Phase::Ended);
--- a/crates/beechcroft-relay/src/main.rs
+++ b/crates/beechcroft-relay/src/main.rs
@@ -27,11 +27,15 @@
     let _lines = logs::begin(relay.log_format);
     let operator = relay.files.operator()?;
     let config = relay.files.config(Holds::Environment)?;
-    runtime.block_on(run::run(config, operator, signals, || relay.files.config(Holds::File)))
+    runtime.block_on(run::run(config, operator, signals, || {
+        relay.files.config(Holds::File)
+    }))
 }
 
 fn begin() -> Result<(Runtime, Signals), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|error| format!("runtime: {error}"))?;
     let entered = runtime.enter();
     let signals = Signals::take().map_err(|error| format!("signals: {error}"))?;
--- a/crates/beechcroft-relay/src/memory/list.rs
+++ b/crates/beechcroft-relay/src/memory/list.rs
@@ -40,12 +40,23 @@
     /// Begins with the list as this relay last held it, if any.
     pub fn new(discovery: Discovery, known: Option<List>, module: Mailbox) -> ListActor {
         let index = known.as_ref().map(|known| known.index);
-        known.into_iter().for_each(|known| drop(module.send(Event::List(known))));
-        ListActor { discovery, module, index, odd: Sparse::new("discovery") }
+        known
+            .into_iter()
+            .for_each(|known| drop(module.send(Event::List(known))));
+        ListActor {
+            discovery,
+            module,
+            index,
+            odd: Sparse::new("discovery"),
+        }
     }
 
     /// `first` is told once discovery has answered, or failed to, for the first time.
-    pub async fn run(mut self, mut asked: mpsc::UnboundedReceiver<ToList>, first: oneshot::Sender<()>) {
+    pub async fn run(
+        mut self,
+        mut asked: mpsc::UnboundedReceiver<ToList>,
+        first: oneshot::Sender<()>,
+    ) {
         let mut first = Some(first);
         if self.index.is_some() {
             first.take().map(|first| first.send(())); // what is known serves
--- a/crates/beechcroft-relay/src/wire/budget.rs
+++ b/crates/beechcroft-relay/src/wire/budget.rs
@@ -120,18 +120,31 @@
     pub fn of(sockets: usize, table: Option<&Connections>) -> Budget {
         let rest = sockets.saturating_sub(OTHERS);
         let Some(table) = table else {
-            return Budget { clients: rest * 3 / 5, crowd: sockets / 4, units: rest * 2 / 5 };
+            return Budget {
+                clients: rest * 3 / 5,
+                crowd: sockets / 4,
+                units: rest * 2 / 5,
+            };
         };
         let clients = (rest as f64 * table.descriptors_part) as usize;
         // Where the operator lets clients stay, they do not crowd: the longest parked makes room where it is needed.
-        Budget { clients, crowd: usize::MAX, units: rest - clients }
+        Budget {
+            clients,
+            crowd: usize::MAX,
+            units: rest - clients,
+        }
     }
 }
 
 /// What holds for clients' connections: as the operator's table states it, else what a platform that reads every silence
 /// as a fault asks for.
 pub fn limits(table: Option<&Connections>, budget: Budget, settings: &Settings) -> Limits {
-    let least = settings.tracks.iter().map(|track| track.quoted).min().unwrap_or_default();
+    let least = settings
+        .tracks
+        .iter()
+        .map(|track| track.quoted)
+        .min()
+        .unwrap_or_default();
     let without = Limits {
         park: false,
         most: budget.clients,
@@ -145,7 +158,11 @@
         wakes_at_once: budget.clients,
         wake_hold: WAKE_HOLD,
         wake_wait: least.mul_f64(WAKE_PART),
-        hold_off_most: if settings.may_name_hold_off { settings.max_hold_off } else { Duration::ZERO },
+        hold_off_most: if settings.may_name_hold_off {
+            settings.max_hold_off
+        } else {
+            Duration::ZERO
+        },
         crowd: budget.crowd,
         spare_after: CROWDED_WAIT,
         leave_wait: SILENT_WAIT,
@@ -154,7 +171,9 @@
     let Some(table) = table else { return without };
     let seconds = Duration::from_secs_f64; // the table's ranges are well within it
     let each = if table.park { PARKED_BYTES } else { HELD_BYTES };
-    let most_idle = ((table.memory_mb * 1e6) as usize / each).min(table.most_parked as usize).max(1);
+    let most_idle = ((table.memory_mb * 1e6) as usize / each)
+        .min(table.most_parked as usize)
+        .max(1);
     Limits {
         park: table.park,
         most_idle,
--- a/crates/beechcroft-relay/src/wire/clients.rs
+++ b/crates/beechcroft-relay/src/wire/clients.rs
@@ -40,7 +40,13 @@
         let effects = names.settings.tracks.iter().map(|track| track.effect);
         let tracks = names.tracks.iter().cloned().zip(effects).collect();
         let longest_wait = names.transport.longest_wait;
-        Front { tracks, tenants: names.tenants.clone(), longest_wait, module, life }
+        Front {
+            tracks,
+            tenants: names.tenants.clone(),
+            longest_wait,
+            module,
+            life,
+        }
     }
 }
 
@@ -66,14 +72,25 @@
 
 impl Fault {
     fn new(status: StatusCode, what: &'static str) -> Fault {
-        Fault { status, what, allow: None }
+        Fault {
+            status,
+            what,
+            allow: None,
+        }
     }
 
     fn encode(self) -> Response {
-        let response =
-            with(plain(self.status, self.what), header::ALLOW, self.allow.map(HeaderValue::from_static));
+        let response = with(
+            plain(self.status, self.what),
+            header::ALLOW,
+            self.allow.map(HeaderValue::from_static),
+        );
         // What follows on this connection, a body that was not read above all, is not to be believed.
-        with(response, header::CONNECTION, Some(HeaderValue::from_static("close")))
+        with(
+            response,
+            header::CONNECTION,
+            Some(HeaderValue::from_static("close")),
+        )
     }
 }
 
@@ -83,23 +100,40 @@
         let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
         // Beside one, hyper takes a Content-Length away: whoever is behind may see another end of the body.
         if head.headers.contains_key(header::TRANSFER_ENCODING) {
-            return Err(Fault::new(StatusCode::LENGTH_REQUIRED, "Transfer-Encoding: not taken"));
+            return Err(Fault::new(
+                StatusCode::LENGTH_REQUIRED,
+                "Transfer-Encoding: not taken",
+            ));
         }
         let lane = text(LANE).ok_or(bad("X-Lane: missing or malformed"))?;
         let track = self.tracks.iter().position(|(name, _)| name == lane);
         let track = track.ok_or(Fault::new(StatusCode::NOT_FOUND, "X-Lane: unknown"))?;
         if head.uri.path().split('/').nth(1) != Some(lane) {
-            return Err(Fault::new(StatusCode::NOT_FOUND, "path: its first part is not X-Lane"));
+            return Err(Fault::new(
+                StatusCode::NOT_FOUND,
+                "path: its first part is not X-Lane",
+            ));
         }
         let effect = self.tracks[track].1;
-        let method = if effect == Effect::Idempotent { "GET" } else { "POST" };
+        let method = if effect == Effect::Idempotent {
+            "GET"
+        } else {
+            "POST"
+        };
         if head.method != method {
-            let fault = Fault::new(StatusCode::METHOD_NOT_ALLOWED, "method: not that of the track");
-            return Err(Fault { allow: Some(method), ..fault });
+            let fault = Fault::new(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "method: not that of the track",
+            );
+            return Err(Fault {
+                allow: Some(method),
+                ..fault
+            });
         }
         let txn = text(TXN).filter(|txn| (1..=TXN_MAX).contains(&txn.len()));
         let txn = txn.ok_or(bad("X-Txn: missing or malformed"))?;
-        let remaining = text(REMAINING).filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
+        let remaining =
+            text(REMAINING).filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
         let remaining = remaining.and_then(|text| text.parse::<u32>().ok()); // some 49 days at most
         let remaining = remaining.ok_or(bad("X-Remaining-Ms: missing or malformed"))?;
         let remaining = Duration::from_millis(remaining.into());
@@ -113,7 +147,9 @@
         Ok(Asked {
             id: TaskId(SmolStr::new(txn)),
             track: TrackId(track),
-            hints: self.hints(&head.headers).ok_or(bad("X-Labels: malformed"))?,
+            hints: self
+                .hints(&head.headers)
+                .ok_or(bad("X-Labels: malformed"))?,
             remaining,
             txn: head.headers[TXN].clone(),
             idempotency_key,
@@ -123,8 +159,15 @@
     /// The further figures, named as on the simulator's wire; others are passed over.
     fn hints(&self, headers: &HeaderMap) -> Option<Hints> {
         let mut hints = Hints::default();
-        let Some(labels) = headers.get(LABELS) else { return Some(hints) };
-        for label in labels.to_str().ok()?.split(',').filter(|label| !label.is_empty()) {
+        let Some(labels) = headers.get(LABELS) else {
+            return Some(hints);
+        };
+        for label in labels
+            .to_str()
+            .ok()?
+            .split(',')
+            .filter(|label| !label.is_empty())
+        {
             match label.trim().split_once('=')? {
                 ("client_group", "0") => {}
                 ("client_group", name) => {
@@ -153,7 +196,8 @@
 impl Drop for Waiting {
     fn drop(&mut self) {
         let left = self.id.take();
-        left.into_iter().for_each(|id| drop(self.module.send(Event::Left(id))));
+        left.into_iter()
+            .for_each(|id| drop(self.module.send(Event::Left(id))));
     }
 }
 
@@ -165,19 +209,27 @@
 
 /// The response with a header, if there is one.
 fn with(mut response: Response, name: HeaderName, value: Option<HeaderValue>) -> Response {
-    response.headers_mut().extend(value.map(|value| (name, value)));
+    response
+        .headers_mut()
+        .extend(value.map(|value| (name, value)));
     response
 }
 
 fn encode(answer: Answer) -> Response {
     match answer {
-        Answer::Handled(reply) => {
-            with(Response::new(Body::from(reply.body)), header::CONTENT_TYPE, reply.content_type)
-        }
+        Answer::Handled(reply) => with(
+            Response::new(Body::from(reply.body)),
+            header::CONTENT_TYPE,
+            reply.content_type,
+        ),
         Answer::Nacked(hold_off) => {
             let after = HeaderValue::try_from(format!("{:.3}", hold_off.as_secs_f64())).ok();
             let after = after.filter(|_| !hold_off.is_zero());
-            with(plain(StatusCode::SERVICE_UNAVAILABLE, "nacked\n"), header::RETRY_AFTER, after)
+            with(
+                plain(StatusCode::SERVICE_UNAVAILABLE, "nacked\n"),
+                header::RETRY_AFTER,
+                after,
+            )
         }
         Answer::Terminated => plain(StatusCode::BAD_GATEWAY, "terminated\n"),
     }
@@ -190,13 +242,17 @@
 /// Dropped when the client closes its connection, which tells the module.
 async fn task(State(front): State<Arc<Front>>, request: Request) -> Response {
     let (head, body) = request.into_parts();
-    let arrived = head.extensions.get().map_or_else(Instant::now, |&Arrived(at)| at);
+    let arrived = head
+        .extensions
+        .get()
+        .map_or_else(Instant::now, |&Arrived(at)| at);
     let asked = match front.decode(&head) {
         Ok(asked) => asked,
         Err(fault) => return fault.encode(),
     };
     let abandon_at = arrived + asked.remaining;
-    let too_long = || Fault::new(StatusCode::PAYLOAD_TOO_LARGE, "body: too long or broken").encode();
+    let too_long =
+        || Fault::new(StatusCode::PAYLOAD_TOO_LARGE, "body: too long or broken").encode();
     if body.size_hint().lower() > BODY_MAX as u64 {
         return too_long();
     }
@@ -204,7 +260,9 @@
     let body = match tokio::time::timeout_at(until, axum::body::to_bytes(body, BODY_MAX)).await {
         Ok(Ok(body)) => body,
         Ok(Err(_)) => return too_long(),
-        Err(_) => return Fault::new(StatusCode::REQUEST_TIMEOUT, "body: did not arrive in time").encode(),
+        Err(_) => {
+            return Fault::new(StatusCode::REQUEST_TIMEOUT, "body: did not arrive in time").encode()
+        }
     };
     let call = Arc::new(Call {
         method: head.method,
@@ -216,15 +274,28 @@
     });
     let (answer, answered) = oneshot::channel();
     let (id, track, hints) = (asked.id.clone(), asked.track, asked.hints);
-    let taken = Taken { id, track, hints, abandon_at, call, answer };
+    let taken = Taken {
+        id,
+        track,
+        hints,
+        abandon_at,
+        call,
+        answer,
+    };
     if front.module.send(Event::Task(taken)).is_err() {
         return plain(StatusCode::SERVICE_UNAVAILABLE, "leaving\n");
     }
-    let mut waiting = Waiting { module: front.module.clone(), id: Some(asked.id) };
+    let mut waiting = Waiting {
+        module: front.module.clone(),
+        id: Some(asked.id),
+    };
     let answer = answered.await;
     waiting.id = None;
     // No answer: the module did not take it, as a task with this id is open.
-    answer.map_or_else(|_| Fault::new(StatusCode::CONFLICT, "X-Txn: such a task is open").encode(), encode)
+    answer.map_or_else(
+        |_| Fault::new(StatusCode::CONFLICT, "X-Txn: such a task is open").encode(),
+        encode,
+    )
 }
 
 async fn healthz(State(front): State<Arc<Front>>) -> Response {
@@ -236,5 +307,8 @@
 
 /// What answers the requests of all connections.
 pub fn router(front: Front) -> Router {
-    Router::new().route("/healthz", get(healthz)).fallback(task).with_state(Arc::new(front))
+    Router::new()
+        .route("/healthz", get(healthz))
+        .fallback(task)
+        .with_state(Arc::new(front))
 }
--- a/crates/beechcroft-relay/src/wire/discovery.rs
+++ b/crates/beechcroft-relay/src/wire/discovery.rs
@@ -52,13 +52,20 @@
 
 impl Places {
     pub fn new(names: &Named) -> Places {
-        Places { zones: names.zones.clone(), kinds: names.kinds.clone() }
+        Places {
+            zones: names.zones.clone(),
+            kinds: names.kinds.clone(),
+        }
     }
 
     pub fn decode(&self, text: &[u8]) -> Result<List, String> {
         let form: ListForm = serde_json::from_slice(text).map_err(|error| error.to_string())?;
         let entries = form.endpoints.into_iter().map(|entry| self.entry(entry));
-        Ok(List { index: form.index, whole: form.snapshot, entries: entries.collect::<Result<_, _>>()? })
+        Ok(List {
+            index: form.index,
+            whole: form.snapshot,
+            entries: entries.collect::<Result<_, _>>()?,
+        })
     }
 
     fn entry(&self, form: EntryForm) -> Result<Entry, String> {
@@ -73,7 +80,11 @@
             return Err(format!("entry '{}': name or weight is void", form.name));
         }
         let started = (form.since_ms > 0).then(|| Duration::from_millis(form.since_ms));
-        let listing = Listing { address: form.address, started, leaving: health != Health::Ready };
+        let listing = Listing {
+            address: form.address,
+            started,
+            leaving: health != Health::Ready,
+        };
         Ok(Entry {
             unit: UnitId(form.name),
             listing,
@@ -95,14 +106,24 @@
 
 impl Discovery {
     pub fn new(address: SocketAddr, places: Places) -> Discovery {
-        Discovery { address, places, client: Discovery::client(address) }
+        Discovery {
+            address,
+            places,
+            client: Discovery::client(address),
+        }
     }
 
     fn client(address: SocketAddr) -> HttpClient {
         // Two: the watch's own, and its successor where it fell silent.
         let room = Room::new(2);
         let keep = WATCH_WAIT + WATCH_SLACK;
-        Connector { to: address, time_out: CONTROL_CONNECT, room, keep: Keep::new(keep) }.client(keep)
+        Connector {
+            to: address,
+            time_out: CONTROL_CONNECT,
+            room,
+            keep: Keep::new(keep),
+        }
+        .client(keep)
     }
 
     /// Gives up the connection that is kept: what it carries can't be relied on.
@@ -117,7 +138,11 @@
 
     /// What is newer than a version, as soon as there is anything; the whole list where none is held.
     pub async fn ask(&self, after: Option<u64>) -> Result<List, String> {
-        let wait = if after.is_some() { WATCH_WAIT } else { Duration::ZERO };
+        let wait = if after.is_some() {
+            WATCH_WAIT
+        } else {
+            Duration::ZERO
+        };
         let answer = tokio::time::timeout(wait + WATCH_SLACK, self.call(after)).await;
         let body = answer.map_err(|_| "silent".to_owned())??;
         self.places.decode(&body)
@@ -125,9 +150,19 @@
 
     async fn call(&self, after: Option<u64>) -> Result<Bytes, String> {
         let watch = after.map(|index| format!("?index={index}&wait={}", WATCH_WAIT.as_millis()));
-        let uri = format!("http://{}/v1/servers{}", self.address, watch.unwrap_or_default());
-        let request = Request::get(uri).body(Full::default()).map_err(|error| error.to_string())?;
-        let answer = self.client.request(request).await.map_err(|error| whole(&error))?;
+        let uri = format!(
+            "http://{}/v1/servers{}",
+            self.address,
+            watch.unwrap_or_default()
+        );
+        let request = Request::get(uri)
+            .body(Full::default())
+            .map_err(|error| error.to_string())?;
+        let answer = self
+            .client
+            .request(request)
+            .await
+            .map_err(|error| whole(&error))?;
         if answer.status() != StatusCode::OK {
             return Err(format!("status {}", answer.status()));
         }
--- a/crates/beechcroft-relay/src/wire/link.rs
+++ b/crates/beechcroft-relay/src/wire/link.rs
@@ -56,7 +56,10 @@
     let mut all = BytesMut::new();
     loop {
         match timeout(ANSWER_GAP, body.frame()).await {
-            Ok(Some(Ok(frame))) => frame.data_ref().into_iter().for_each(|data| all.extend_from_slice(data)),
+            Ok(Some(Ok(frame))) => frame
+                .data_ref()
+                .into_iter()
+                .for_each(|data| all.extend_from_slice(data)),
             Ok(Some(Err(error))) => return Err(whole(&*error)),
             Ok(None) => return Ok(all.freeze()),
             Err(_) => return Err("stopped short".to_owned()),
@@ -73,7 +76,10 @@
 
 impl Room {
     pub fn new(connections: usize) -> Room {
-        Room { free: Arc::new(Semaphore::new(connections)), short: watch::Sender::new(()) }
+        Room {
+            free: Arc::new(Semaphore::new(connections)),
+            short: watch::Sender::new(()),
+        }
     }
 
     /// Changes whenever a connect found no room: those who hold idle connections are to drop them.
@@ -106,7 +112,13 @@
         let stream = timeout(self.time_out, TcpStream::connect(self.to)).await??;
         stream.set_nodelay(true)?;
         let (stream, keep) = (TokioIo::new(stream), self.keep);
-        Ok(Link { stream, heard: None, lay: None, keep, _permit: permit })
+        Ok(Link {
+            stream,
+            heard: None,
+            lay: None,
+            keep,
+            _permit: permit,
+        })
     }
 
     /// A client of its own pool. It resends nothing by itself; a kept connection is dropped after `keep`.
@@ -155,12 +167,16 @@
 
     /// Whether nothing is to be read, not even an end.
     fn is_quiet(&self) -> bool {
-        self.peek().is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
+        self.peek()
+            .is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Whether it has ended or was reset; asking takes the error away, so that a read finds the end only.
     fn has_ended(&self) -> bool {
-        self.peek().map_or_else(|error| error.kind() != io::ErrorKind::WouldBlock, |length| length == 0)
+        self.peek().map_or_else(
+            |error| error.kind() != io::ErrorKind::WouldBlock,
+            |length| length == 0,
+        )
     }
 }
 
@@ -172,21 +188,28 @@
 
 impl Read for Link {
     fn poll_read(
-        mut self: Pin<&mut Self>, context: &mut Context, into: ReadBufCursor,
+        mut self: Pin<&mut Self>,
+        context: &mut Context,
+        into: ReadBufCursor,
     ) -> Poll<io::Result<()>> {
         let ended = self.lay.is_some() && self.has_ended();
         let read = Pin::new(&mut self.stream).poll_read(context, into);
         if let Poll::Ready(came) = &read {
             self.heard = Some(Instant::now());
             let lay = self.lay.take();
-            lay.into_iter().for_each(|lay| self.keep.reused(lay, ended || came.is_err()));
+            lay.into_iter()
+                .for_each(|lay| self.keep.reused(lay, ended || came.is_err()));
         }
         read
     }
 }
 
 impl Write for Link {
-    fn poll_write(mut self: Pin<&mut Self>, context: &mut Context, from: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        context: &mut Context,
+        from: &[u8],
+    ) -> Poll<io::Result<usize>> {
         if self.heard.is_some() && !self.is_quiet() {
             return Poll::Ready(Err(io::Error::other(NotQuiet)));
         }
--- a/crates/beechcroft-relay/src/wire/lot.rs
+++ b/crates/beechcroft-relay/src/wire/lot.rs
@@ -51,7 +51,9 @@
     match stream.peek(&mut [0]) {
         Ok(0) => Look::Left,
         Ok(_) => Look::Asks,
-        Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => Look::Nothing,
+        Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+            Look::Nothing
+        }
         Err(_) => Look::Left,
     }
 }
@@ -93,7 +95,11 @@
 
 impl Sockets {
     fn watch(&self, id: Id, stream: &TcpStream) -> io::Result<()> {
-        self.registry.register(&mut SourceFd(&stream.as_raw_fd()), token(id), Interest::READABLE)
+        self.registry.register(
+            &mut SourceFd(&stream.as_raw_fd()),
+            token(id),
+            Interest::READABLE,
+        )
     }
 
     fn serve(&mut self, id: Id, stream: TcpStream, arrived: Option<Instant>, last: bool) {
@@ -105,8 +111,15 @@
                 return drop(self.mailbox.send(Told::Of(Event::Ended(id))));
             }
         };
-        let serving = serve(stream, gate.clone(), self.router.clone(), last, self.leave.subscribe());
-        self.held.insert(id, Held::Served(tokio::spawn(serving).abort_handle(), gate));
+        let serving = serve(
+            stream,
+            gate.clone(),
+            self.router.clone(),
+            last,
+            self.leave.subscribe(),
+        );
+        self.held
+            .insert(id, Held::Served(tokio::spawn(serving).abort_handle(), gate));
     }
 
     /// Parks one that waits; what to tell of it, where something has come already.
@@ -144,20 +157,26 @@
     }
 
     fn turn_away(&mut self, id: Id, hold_off: Duration) {
-        let (Some(Held::Watched(stream)) | Some(Held::Here(stream))) = self.held.remove(id) else { return };
+        let (Some(Held::Watched(stream)) | Some(Held::Here(stream))) = self.held.remove(id) else {
+            return;
+        };
         trace!(connection = id.data().as_ffi(), "turned away");
         let after = match hold_off.is_zero() {
             true => String::new(),
             false => format!("retry-after: {:.3}\r\n", hold_off.as_secs_f64()),
         };
-        let head =
-            format!("HTTP/1.1 503 Service Unavailable\r\n{after}connection: close\r\ncontent-length: 7\r\n");
+        let head = format!(
+            "HTTP/1.1 503 Service Unavailable\r\n{after}connection: close\r\ncontent-length: 7\r\n"
+        );
         drain(&stream);
         // A few hundred bytes on a connection that waited: its send buffer is empty.
         let _ = (&stream).write_all(format!("{head}\r\nnacked\n").as_bytes());
         let _ = stream.shutdown(Shutdown::Write);
-        let again =
-            self.registry.reregister(&mut SourceFd(&stream.as_raw_fd()), token(id), Interest::READABLE);
+        let again = self.registry.reregister(
+            &mut SourceFd(&stream.as_raw_fd()),
+            token(id),
+            Interest::READABLE,
+        );
         if again.is_err() {
             let _ = self.watch(id, &stream); // it was not watched before
         }
@@ -216,14 +235,22 @@
 
 impl Lot {
     /// `probe` is for how long a client may be silent before its machine is asked after; zero asks nobody.
-    pub fn new(listener: TcpListener, limits: Limits, probe: Duration, router: Router) -> io::Result<Lot> {
+    pub fn new(
+        listener: TcpListener,
+        limits: Limits,
+        probe: Duration,
+        router: Router,
+    ) -> io::Result<Lot> {
         let parked = mio::Poll::new()?;
         let registry = parked.registry().try_clone()?;
         let wakes = owned(parked)?;
         let (mailbox, told) = mpsc::unbounded_channel();
         listener.set_nonblocking(true)?;
         let probe = (!probe.is_zero()).then(|| {
-            TcpKeepalive::new().with_time(probe).with_interval(PROBE_GAP.min(probe)).with_retries(PROBES)
+            TcpKeepalive::new()
+                .with_time(probe)
+                .with_interval(PROBE_GAP.min(probe))
+                .with_retries(PROBES)
         });
         Ok(Lot {
             all: Connections::new(limits),
@@ -335,19 +362,27 @@
         self.tell(Event::Tick);
         if self.all.crowded() && !crowded {
             let open = self.all.fill().open();
-            self.odd.warn(format!("{open} connections are open, idle ones are closed"));
+            self.odd
+                .warn(format!("{open} connections are open, idle ones are closed"));
         }
         self.show();
     }
 
     /// Takes the wake-ups of a turn.
     fn wake(&mut self) {
-        self.woken = match self.wakes.get_mut().poll(&mut self.events, Some(Duration::ZERO)) {
+        self.woken = match self
+            .wakes
+            .get_mut()
+            .poll(&mut self.events, Some(Duration::ZERO))
+        {
             Ok(()) => self.events.iter().count() == WAKES,
             Err(error) => error.kind() == ErrorKind::Interrupted,
         };
-        let ids: Vec<Id> =
-            self.events.iter().map(|event| KeyData::from_ffi(event.token().0 as u64).into()).collect();
+        let ids: Vec<Id> = self
+            .events
+            .iter()
+            .map(|event| KeyData::from_ffi(event.token().0 as u64).into())
+            .collect();
         for id in ids {
             let event = self.sockets.woken(id);
             event.into_iter().for_each(|event| self.tell(event));
@@ -383,7 +418,9 @@
             let _ = SockRef::from(&stream).set_tcp_keepalive(probe);
         }
         let now = self.now();
-        let Some(id) = self.all.open(now, &mut self.sockets) else { return };
+        let Some(id) = self.all.open(now, &mut self.sockets) else {
+            return;
+        };
         if !self.sockets.park {
             let last = *self.sockets.leave.borrow();
             return self.sockets.serve(id, stream, None, last);
@@ -407,7 +444,15 @@
         let fill = self.all.fill();
         if fill != self.shown {
             self.shown = fill;
-            let Fill { fresh, parked, waking, head, task, rest, closing } = fill;
+            let Fill {
+                fresh,
+                parked,
+                waking,
+                head,
+                task,
+                rest,
+                closing,
+            } = fill;
             debug!(
                 target: "beechcroft::connections",
                 open = fill.open(), fresh, parked, waking, head, task, rest, closing,
--- a/crates/beechcroft-relay/src/wire/peers.rs
+++ b/crates/beechcroft-relay/src/wire/peers.rs
@@ -40,7 +40,12 @@
         };
         let relays = addresses.peers.iter().copied().map(spawn).collect();
         let all = addresses.all.map(spawn);
-        tokio::spawn(listen(socket.clone(), numbers(&addresses.peers), me, module));
+        tokio::spawn(listen(
+            socket.clone(),
+            numbers(&addresses.peers),
+            me,
+            module,
+        ));
         Ok(Peers { relays, all })
     }
 
@@ -50,15 +55,25 @@
             Some(peer) => self.relays.get(peer.0 as usize),
             None => self.all.as_ref(),
         };
-        mailbox.into_iter().for_each(|mailbox| drop(mailbox.send(note.to_vec())));
+        mailbox
+            .into_iter()
+            .for_each(|mailbox| drop(mailbox.send(note.to_vec())));
     }
 }
 
 fn numbers(peers: &[SocketAddr]) -> HashMap<SocketAddr, PeerId> {
-    (0..).map(PeerId).zip(peers).map(|(peer, &address)| (address, peer)).collect()
+    (0..)
+        .map(PeerId)
+        .zip(peers)
+        .map(|(peer, &address)| (address, peer))
+        .collect()
 }
 
-async fn speak(socket: Arc<UdpSocket>, to: SocketAddr, mut mailbox: mpsc::UnboundedReceiver<Vec<u8>>) {
+async fn speak(
+    socket: Arc<UdpSocket>,
+    to: SocketAddr,
+    mut mailbox: mpsc::UnboundedReceiver<Vec<u8>>,
+) {
     let odd = Sparse::new("note to a relay");
     while let Some(note) = mailbox.recv().await {
         if note.len() > NOTE_MAX {
@@ -69,7 +84,12 @@
     }
 }
 
-async fn listen(socket: Arc<UdpSocket>, numbers: HashMap<SocketAddr, PeerId>, me: PeerId, module: Mailbox) {
+async fn listen(
+    socket: Arc<UdpSocket>,
+    numbers: HashMap<SocketAddr, PeerId>,
+    me: PeerId,
+    module: Mailbox,
+) {
     let odd = Sparse::new("note from a relay");
     let mut note = [0; NOTE_MAX + 1];
     loop {
--- a/crates/beechcroft-relay/src/wire/platform.rs
+++ b/crates/beechcroft-relay/src/wire/platform.rs
@@ -30,8 +30,15 @@
 pub enum Told {
     Ping,
     News(News),
-    Dispute { unit: UnitId, kind: SmolStr },
-    Answer { id: u64, outcome: Outcome, news: Option<News> },
+    Dispute {
+        unit: UnitId,
+        kind: SmolStr,
+    },
+    Answer {
+        id: u64,
+        outcome: Outcome,
+        news: Option<News>,
+    },
     Listens,
 }
 
@@ -77,7 +84,12 @@
     if !(0.0..=1.0).contains(&form.max_weight) {
         return Err(format!("maxWeight: {} is out of range", form.max_weight));
     }
-    Ok(News { build: BuildId(form.version), stage: Stage(form.step.into()), phase, cap: form.max_weight })
+    Ok(News {
+        build: BuildId(form.version),
+        stage: Stage(form.step.into()),
+        phase,
+        cap: form.max_weight,
+    })
 }
 
 pub fn decode(line: &[u8]) -> Result<Told, String> {
@@ -87,16 +99,26 @@
         (Some("ping"), _) => Ok(Told::Ping),
         (Some("ROLLOUT"), _) => decode_news(params).map(Told::News),
         (Some("DISPUTE"), _) => {
-            let form: DisputeForm = serde_json::from_value(params).map_err(|error| error.to_string())?;
-            Ok(Told::Dispute { unit: UnitId(form.pod), kind: form.kind })
+            let form: DisputeForm =
+                serde_json::from_value(params).map_err(|error| error.to_string())?;
+            Ok(Told::Dispute {
+                unit: UnitId(form.pod),
+                kind: form.kind,
+            })
         }
         (Some(other), _) => Err(format!("method: unknown '{other}'")),
         (None, Some(id)) => match (form.error, form.result) {
-            (Some(error), _) => Ok(Told::Answer { id, outcome: refusal(&error.message), news: None }),
+            (Some(error), _) => Ok(Told::Answer {
+                id,
+                outcome: refusal(&error.message),
+                news: None,
+            }),
             (None, Some(Value::Bool(true))) => Ok(Told::Listens),
-            (None, Some(state)) => {
-                decode_news(state).map(|news| Told::Answer { id, outcome: Outcome::Ok, news: Some(news) })
-            }
+            (None, Some(state)) => decode_news(state).map(|news| Told::Answer {
+                id,
+                outcome: Outcome::Ok,
+                news: Some(news),
+            }),
             (None, None) => Err("neither result nor error".to_owned()),
         },
         (None, None) => Err("neither method nor id".to_owned()),
@@ -112,7 +134,10 @@
 }
 
 pub fn encode_listen(id: u64) -> String {
-    format!("{}\n", json!({"jsonrpc": "2.0", "id": id, "method": "listen"}))
+    format!(
+        "{}\n",
+        json!({"jsonrpc": "2.0", "id": id, "method": "listen"})
+    )
 }
 
 pub fn encode_vote(id: u64, ballot: &Ballot) -> String {
@@ -123,7 +148,10 @@
         Vote::Back => "abort",
     };
     let params = json!({"version": ballot.build.0, "step": ballot.stage.0, "vote": vote});
-    format!("{}\n", json!({"jsonrpc": "2.0", "id": id, "method": "verdict", "params": params}))
+    format!(
+        "{}\n",
+        json!({"jsonrpc": "2.0", "id": id, "method": "verdict", "params": params})
+    )
 }
 
 /// What a connection's task reports: that it came up, a line, or its end.
@@ -170,7 +198,10 @@
 
 /// Starts the actor; `first` is told once the platform was reached, or could not be, for the first time.
 pub fn spawn(
-    address: SocketAddr, answer_wait: Duration, tracks: Vec<String>, module: Mailbox,
+    address: SocketAddr,
+    answer_wait: Duration,
+    tracks: Vec<String>,
+    module: Mailbox,
     first: oneshot::Sender<()>,
 ) -> PlatformMailbox {
     let (sender, mailbox) = mpsc::unbounded_channel();
@@ -194,7 +225,8 @@
 
 impl PlatformActor {
     async fn run(
-        mut self, mut mailbox: mpsc::UnboundedReceiver<ToPlatform>,
+        mut self,
+        mut mailbox: mpsc::UnboundedReceiver<ToPlatform>,
         mut reported: mpsc::UnboundedReceiver<(u64, Report)>,
     ) {
         loop {
@@ -263,7 +295,8 @@
     /// When something is to be done although nothing happens.
     fn due(&self) -> Instant {
         let vote = self.waiting.values().map(|waiting| waiting.until).min();
-        vote.into_iter().fold(self.silent_at().max(self.pause_until), Instant::min)
+        vote.into_iter()
+            .fold(self.silent_at().max(self.pause_until), Instant::min)
     }
 
     /// When too long nothing will have been heard on any connection.
@@ -273,7 +306,9 @@
     }
 
     fn report(&mut self, number: u64, report: Report) {
-        let Some(at) = self.lines.iter().position(|line| line.number == number) else { return };
+        let Some(at) = self.lines.iter().position(|line| line.number == number) else {
+            return;
+        };
         match report {
             Report::Up => (self.lines[at].up, self.lines[at].heard_at) = (true, Instant::now()),
             Report::Ended(why) => {
@@ -292,7 +327,8 @@
                         self.drop_useless(number);
                     }
                     Err(error) => {
-                        self.odd.warn(format!("line not understood, connection given up: {error}"));
+                        self.odd
+                            .warn(format!("line not understood, connection given up: {error}"));
                         self.end(number);
                     }
                 }
@@ -309,7 +345,10 @@
             return;
         }
         let waits = |line: &Line| self.waiting.values().any(|vote| vote.line == line.number);
-        let others = self.lines.iter().filter(|line| line.number != lives && !(line.former && waits(line)));
+        let others = self
+            .lines
+            .iter()
+            .filter(|line| line.number != lives && !(line.former && waits(line)));
         let others: Vec<u64> = others.map(|line| line.number).collect();
         others.into_iter().for_each(|number| self.end(number));
     }
@@ -327,10 +366,16 @@
             },
             Told::Ping | Told::Listens => return,
             Told::News(news) => Event::News(news),
-            Told::Dispute { unit, kind } => match self.tracks.iter().position(|track| *track == kind) {
-                Some(track) => Event::Complaint(unit, TrackId(track)),
-                None => return self.odd.warn(format!("dispute of the unknown track '{kind}'")),
-            },
+            Told::Dispute { unit, kind } => {
+                match self.tracks.iter().position(|track| *track == kind) {
+                    Some(track) => Event::Complaint(unit, TrackId(track)),
+                    None => {
+                        return self
+                            .odd
+                            .warn(format!("dispute of the unknown track '{kind}'"))
+                    }
+                }
+            }
             Told::Answer { id, outcome, news } => match (self.waiting.remove(&id), news) {
                 (Some(_), news) => Event::VoteAnswered(outcome, news),
                 (None, Some(news)) => Event::News(news), // given up before
@@ -362,24 +407,43 @@
     fn cast(&mut self, ballot: Ballot) {
         let id = self.id();
         let text = encode_vote(id, &ballot);
-        let line = self.present().filter(|line| line.up).max_by_key(|line| line.heard_at);
+        let line = self
+            .present()
+            .filter(|line| line.up)
+            .max_by_key(|line| line.heard_at);
         match line.filter(|line| line.to_write.send(text).is_ok()) {
             Some(line) => {
                 let until = Instant::now() + self.answer_wait;
-                self.waiting.insert(id, Waiting { line: line.number, until });
+                self.waiting.insert(
+                    id,
+                    Waiting {
+                        line: line.number,
+                        until,
+                    },
+                );
             }
-            None => drop(self.module.send(Event::VoteAnswered(Outcome::ConnectFailed, None))),
+            None => drop(
+                self.module
+                    .send(Event::VoteAnswered(Outcome::ConnectFailed, None)),
+            ),
         }
     }
 }
 
 /// Carries one connection: lines in, texts out, until it breaks or the actor drops it.
 async fn carry(
-    address: SocketAddr, number: u64, mut texts: mpsc::UnboundedReceiver<String>,
+    address: SocketAddr,
+    number: u64,
+    mut texts: mpsc::UnboundedReceiver<String>,
     reports: mpsc::UnboundedSender<(u64, Report)>,
 ) {
     let why = match timeout(CONTROL_CONNECT, TcpStream::connect(address)).await {
-        Ok(Ok(stream)) => speak(stream, &mut texts, |told| drop(reports.send((number, told)))).await,
+        Ok(Ok(stream)) => {
+            speak(stream, &mut texts, |told| {
+                drop(reports.send((number, told)))
+            })
+            .await
+        }
         Ok(Err(error)) => format!("connect: {error}"),
         Err(_) => "connect: no answer".to_owned(),
     };
@@ -388,7 +452,9 @@
 
 /// Why it ended.
 async fn speak(
-    stream: TcpStream, texts: &mut mpsc::UnboundedReceiver<String>, report: impl Fn(Report),
+    stream: TcpStream,
+    texts: &mut mpsc::UnboundedReceiver<String>,
+    report: impl Fn(Report),
 ) -> String {
     let _ = stream.set_nodelay(true);
     report(Report::Up);
--- a/crates/beechcroft-relay/src/wire/serving.rs
+++ b/crates/beechcroft-relay/src/wire/serving.rs
@@ -70,9 +70,20 @@
 impl Gate {
     /// Of a connection that has asked since `arrived`, or rests.
     pub fn new(id: Id, arrived: Option<Instant>, park: bool, lot: LotMailbox) -> Arc<Gate> {
-        let stage = if arrived.is_some() { Stage::Head } else { Stage::Rest };
+        let stage = if arrived.is_some() {
+            Stage::Head
+        } else {
+            Stage::Rest
+        };
         let (stage, last) = (AtomicU8::new(stage as u8), AtomicBool::new(false));
-        Arc::new(Gate { id, stage, park, last, arrived: Mutex::new(arrived), lot })
+        Arc::new(Gate {
+            id,
+            stage,
+            park,
+            last,
+            arrived: Mutex::new(arrived),
+            lot,
+        })
     }
 
     pub fn stage(&self) -> Stage {
@@ -88,7 +99,10 @@
     }
 
     fn arrived(&self) -> Option<Instant> {
-        self.arrived.lock().unwrap_or_else(PoisonError::into_inner).take()
+        self.arrived
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .take()
     }
 
     fn read(&self) {
@@ -123,7 +137,9 @@
 
 fn says_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(header::CONNECTION).iter();
-    let mut words = values.filter_map(|value| value.to_str().ok()).flat_map(|value| value.split(','));
+    let mut words = values
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|value| value.split(','));
     words.any(|word| word.trim().eq_ignore_ascii_case("close"))
 }
 
@@ -138,7 +154,8 @@
     type Error = axum::Error;
 
     fn poll_frame(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>,
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, axum::Error>>> {
         Pin::new(&mut self.body).poll_frame(cx)
     }
@@ -165,7 +182,9 @@
 
 impl hyper::rt::Read for Io {
     fn poll_read(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>, mut buf: ReadBufCursor<'_>,
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         if !self.ahead.is_empty() {
             let most = buf.remaining().min(self.ahead.len());
@@ -185,11 +204,17 @@
 }
 
 impl hyper::rt::Write for Io {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, bytes)
     }
     fn poll_write_vectored(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>, parts: &[io::IoSlice<'_>],
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write_vectored(cx, parts)
     }
@@ -211,20 +236,32 @@
 
 impl Drop for Ends {
     fn drop(&mut self) {
-        self.0.take().into_iter().for_each(|gate| gate.tell(Event::Ended));
+        self.0
+            .take()
+            .into_iter()
+            .for_each(|gate| gate.tell(Event::Ended));
     }
 }
 
 /// Serves a connection until it ends or is given back. Where `last`, its next answer is its last; `leave` tells once that
 /// the relay leaves, which makes it so.
 pub async fn serve(
-    stream: TcpStream, gate: Arc<Gate>, router: Router, last: bool, mut leave: watch::Receiver<bool>,
+    stream: TcpStream,
+    gate: Arc<Gate>,
+    router: Router,
+    last: bool,
+    mut leave: watch::Receiver<bool>,
 ) {
     let mut ends = Ends(Some(gate.clone()));
-    let mut io = Io { stream, ahead: Bytes::new(), gate: gate.clone() };
+    let mut io = Io {
+        stream,
+        ahead: Bytes::new(),
+        gate: gate.clone(),
+    };
     loop {
         let (router, own) = (router.clone(), gate.clone());
-        let service = service_fn(move |request| Box::pin(answer(router.clone(), own.clone(), request)));
+        let service =
+            service_fn(move |request| Box::pin(answer(router.clone(), own.clone(), request)));
         let mut builder = http1::Builder::new();
         builder.keep_alive(!last).max_buf_size(HEAD_MAX);
         let mut connection = builder.serve_connection(io, service);
@@ -233,7 +270,11 @@
             let turn = poll_fn(|cx| loop {
                 if let Poll::Ready(ended) = Pin::new(&mut connection).poll(cx) {
                     // The reason is put into words only where somebody reads it.
-                    let reason = || ended.err().map_or("closed".to_owned(), |error| whole(&error));
+                    let reason = || {
+                        ended
+                            .err()
+                            .map_or("closed".to_owned(), |error| whole(&error))
+                    };
                     trace!(connection = gate.id.data().as_ffi(), stage = ?gate.stage(), reason = reason(), "ended");
                     return Poll::Ready(false);
                 }
@@ -275,7 +316,9 @@
 
 /// One request of a connection.
 async fn answer(
-    mut router: Router, gate: Arc<Gate>, mut request: Request<Incoming>,
+    mut router: Router,
+    gate: Arc<Gate>,
+    mut request: Request<Incoming>,
 ) -> Result<Response<Ending>, Infallible> {
     gate.head_read(&request);
     if let Some(at) = gate.arrived() {
--- a/crates/beechcroft-relay/src/wire/sparse.rs
+++ b/crates/beechcroft-relay/src/wire/sparse.rs
@@ -22,7 +22,11 @@
 
 impl Sparse {
     pub fn new(what: &'static str) -> Sparse {
-        Sparse { what, last: Cell::new(None), left_out: Cell::new(0) }
+        Sparse {
+            what,
+            last: Cell::new(None),
+            left_out: Cell::new(0),
+        }
     }
 
     pub fn warn(&self, detail: impl Display) {
--- a/crates/beechcroft-relay/src/wire/units.rs
+++ b/crates/beechcroft-relay/src/wire/units.rs
@@ -63,14 +63,31 @@
         let (sender, mailbox) = mpsc::unbounded_channel();
         let kept = self.keep.worth();
         let client = self.client(listing, kept);
-        let actor = UnitActor { shared: self.clone(), listing, client, kept, orders: HashMap::new() };
+        let actor = UnitActor {
+            shared: self.clone(),
+            listing,
+            client,
+            kept,
+            orders: HashMap::new(),
+        };
         tokio::spawn(actor.run(mailbox));
         sender
     }
 
     fn client(&self, listing: Listing, kept: Duration) -> HttpClient {
-        let Shared { room, dial_time_out, keep, .. } = self.clone();
-        Connector { to: listing.address, time_out: dial_time_out, room, keep }.client(kept)
+        let Shared {
+            room,
+            dial_time_out,
+            keep,
+            ..
+        } = self.clone();
+        Connector {
+            to: listing.address,
+            time_out: dial_time_out,
+            room,
+            keep,
+        }
+        .client(kept)
     }
 }
 
@@ -143,24 +160,52 @@
     }
 
     fn call(
-        &mut self, dispatch: Dispatch,
+        &mut self,
+        dispatch: Dispatch,
     ) -> impl std::future::Future<Output = (Ended, Option<String>)> + use<> {
         if self.shared.keep.worth() != self.kept {
             self.renew();
         }
         let spent_room = self.orders.len() >= UNIT_CALLS;
-        let (order, told) = watch::channel(if self.listing.leaving { Order::Leave } else { Order::Proceed });
-        self.orders.insert((dispatch.task.clone(), dispatch.no.0), order);
+        let (order, told) = watch::channel(if self.listing.leaving {
+            Order::Leave
+        } else {
+            Order::Proceed
+        });
+        self.orders
+            .insert((dispatch.task.clone(), dispatch.no.0), order);
         let (client, address) = (self.client.clone(), self.listing.address);
         async move {
-            let Dispatch { task, no, call, at, time_out } = dispatch;
+            let Dispatch {
+                task,
+                no,
+                call,
+                at,
+                time_out,
+            } = dispatch;
             let got = match encode(&call, address, time_out) {
                 _ if spent_room => Got::of(Outcome::Moot),
                 Ok(request) => exchange(client, request, told, at, time_out).await,
                 Err(error) => Got::odd(Outcome::Moot, error.to_string()),
             };
-            let Got { outcome, reply, oddity, held, .. } = got;
-            (Ended { task, no, outcome, reply, spent: at.elapsed(), held }, oddity)
+            let Got {
+                outcome,
+                reply,
+                oddity,
+                held,
+                ..
+            } = got;
+            (
+                Ended {
+                    task,
+                    no,
+                    outcome,
+                    reply,
+                    spent: at.elapsed(),
+                    held,
+                },
+                oddity,
+            )
         }
     }
 }
@@ -178,37 +223,63 @@
 
 impl Got {
     fn of(outcome: Outcome) -> Got {
-        Got { outcome, reply: None, oddity: None, held: None, unwritten: false }
+        Got {
+            outcome,
+            reply: None,
+            oddity: None,
+            held: None,
+            unwritten: false,
+        }
     }
 
     fn odd(outcome: Outcome, oddity: String) -> Got {
-        Got { oddity: Some(oddity), ..Got::of(outcome) }
+        Got {
+            oddity: Some(oddity),
+            ..Got::of(outcome)
+        }
     }
 }
 
-fn encode(call: &Call, address: SocketAddr, wait: Duration) -> Result<Request<Full<Bytes>>, http::Error> {
-    let path = call.target.path_and_query().map_or("/", |path| path.as_str());
+fn encode(
+    call: &Call,
+    address: SocketAddr,
+    wait: Duration,
+) -> Result<Request<Full<Bytes>>, http::Error> {
+    let path = call
+        .target
+        .path_and_query()
+        .map_or("/", |path| path.as_str());
     let uri: Uri = format!("http://{address}{path}").parse()?;
     let mut request = Request::builder()
         .method(call.method.clone())
         .uri(uri)
         .header(TXN, &call.txn)
         .header(REMAINING, wait.as_millis() as u64);
-    for (name, value) in [(KEY, &call.idempotency_key), (header::CONTENT_TYPE.as_str(), &call.content_type)] {
-        request = value.iter().fold(request, |request, value| request.header(name, value));
+    for (name, value) in [
+        (KEY, &call.idempotency_key),
+        (header::CONTENT_TYPE.as_str(), &call.content_type),
+    ] {
+        request = value
+            .iter()
+            .fold(request, |request, value| request.header(name, value));
     }
     request.body(Full::new(call.body.clone()))
 }
 
 /// One call. Where a kept connection was found unfit before anything of the request was written, another one takes it.
 async fn exchange(
-    client: HttpClient, request: Request<Full<Bytes>>, mut told: watch::Receiver<Order>, at: Instant,
+    client: HttpClient,
+    request: Request<Full<Bytes>>,
+    mut told: watch::Receiver<Order>,
+    at: Instant,
     time_out: Duration,
 ) -> Got {
     for _ in 0..REPLACED {
         match attempt(&client, request.clone(), &mut told, at, time_out).await {
             // The others that ended with it are seen to have by the next turn.
-            Got { unwritten: true, .. } => tokio::task::yield_now().await,
+            Got {
+                unwritten: true, ..
+            } => tokio::task::yield_now().await,
             got => return got,
         }
     }
@@ -217,7 +288,10 @@
 
 /// One try of a call. Dropping it, on order or when its time is over, closes its connection or gives up connecting.
 async fn attempt(
-    client: &HttpClient, mut request: Request<Full<Bytes>>, told: &mut watch::Receiver<Order>, at: Instant,
+    client: &HttpClient,
+    mut request: Request<Full<Bytes>>,
+    told: &mut watch::Receiver<Order>,
+    at: Instant,
     time_out: Duration,
 ) -> Got {
     let connection = capture_connection(&mut request);
@@ -268,15 +342,23 @@
     };
     let (head, body) = answer.into_parts();
     let outcome = of_status(head.status, &head.headers);
-    let held = head.headers.get(LOAD).and_then(|value| held_by(value.as_bytes()));
+    let held = head
+        .headers
+        .get(LOAD)
+        .and_then(|value| held_by(value.as_bytes()));
     // Whatever came, the body is read to its end, so that the connection can be kept.
     let got = match collect(body, ANSWER_MAX).await {
         Ok(body) if outcome == Outcome::Ok => {
             let content_type = head.headers.get(header::CONTENT_TYPE).cloned();
-            Got { reply: Some(Reply { body, content_type }), ..Got::of(outcome) }
+            Got {
+                reply: Some(Reply { body, content_type }),
+                ..Got::of(outcome)
+            }
         }
         Err(error) if outcome == Outcome::Ok => Got::odd(Outcome::Reset, format!("body: {error}")),
-        _ if head.status == StatusCode::INTERNAL_SERVER_ERROR || outcome == Outcome::Full => Got::of(outcome),
+        _ if head.status == StatusCode::INTERNAL_SERVER_ERROR || outcome == Outcome::Full => {
+            Got::of(outcome)
+        }
         _ => Got::odd(outcome, format!("unexpected status {}", head.status)),
     };
     Got { held, ..got }
@@ -293,12 +375,16 @@
     let turned_away = headers.get(TURNED_AWAY).is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => {
+            Outcome::Full
+        }
         _ => Outcome::Error,
     }
 }
 
-fn cause<'a, T: std::error::Error + 'static>(error: &'a (dyn std::error::Error + 'static)) -> Option<&'a T> {
+fn cause<'a, T: std::error::Error + 'static>(
+    error: &'a (dyn std::error::Error + 'static),
+) -> Option<&'a T> {
     let mut next = Some(error);
     while let Some(error) = next {
         if let Some(found) = error.downcast_ref() {
@@ -323,11 +409,17 @@
     }
     let handed_back = cause::<hyper::Error>(error).is_some_and(hyper::Error::is_canceled);
     if handed_back || is_not_quiet(error) {
-        return Got { unwritten: true, ..Got::of(Outcome::ConnectFailed) };
+        return Got {
+            unwritten: true,
+            ..Got::of(Outcome::ConnectFailed)
+        };
     }
     if error.is_connect() {
         return Got::of(Outcome::ConnectFailed);
     }
     let unreadable = cause::<hyper::Error>(error).filter(|error| error.is_parse());
-    Got { oddity: unreadable.map(|error| whole(error)), ..Got::of(Outcome::Reset) }
+    Got {
+        oddity: unreadable.map(|error| whole(error)),
+        ..Got::of(Outcome::Reset)
+    }
 }
--- a/crates/beechcroft-resp/src/lib.rs
+++ b/crates/beechcroft-resp/src/lib.rs
@@ -63,7 +63,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Malformed::TooMuch(what) => write!(f, "a message with more {what} than are taken"),
-            Malformed::Byte { byte } => write!(f, "a message cannot begin with {:?}", char::from(*byte)),
+            Malformed::Byte { byte } => {
+                write!(f, "a message cannot begin with {:?}", char::from(*byte))
+            }
             Malformed::Length(text) => write!(f, "{text:?} is no length"),
             Malformed::Streamed => f.write_str("streamed strings and lists are not taken"),
             Malformed::Other(what) => f.write_str(what),
@@ -85,7 +87,12 @@
 impl Reader {
     /// Of a connection that speaks this version from here on.
     pub fn new(bounds: Bounds, version: Version) -> Reader {
-        Reader { buffer: BytesMut::new(), scan: Scan::default(), bounds, version }
+        Reader {
+            buffer: BytesMut::new(),
+            scan: Scan::default(),
+            bounds,
+            version,
+        }
     }
 
     /// What follows is of this version: to be told before the reply to `HELLO` is read, which is of the version asked for.
@@ -110,17 +117,21 @@
         self.scan = Scan::default();
         let whole = self.buffer.split_to(length).freeze();
         let decoded = match self.version {
-            Version::Resp2 => {
-                resp2::decode::decode_bytes(&whole).map(|got| got.map(|(frame, used)| (value2(frame), used)))
-            }
+            Version::Resp2 => resp2::decode::decode_bytes(&whole)
+                .map(|got| got.map(|(frame, used)| (value2(frame), used))),
             Version::Resp3 => {
                 let got = resp3::decode::complete::decode_bytes(&whole);
-                got.and_then(|got| got.map(|(frame, used)| Ok((value3(frame), used))).transpose())
+                got.and_then(|got| {
+                    got.map(|(frame, used)| Ok((value3(frame), used)))
+                        .transpose()
+                })
             }
         };
         match decoded {
             Ok(Some((value, used))) if used == length => value.map(Some),
-            Ok(_) => Err(Malformed::Other("a message that ends elsewhere than it says".to_owned())),
+            Ok(_) => Err(Malformed::Other(
+                "a message that ends elsewhere than it says".to_owned(),
+            )),
             Err(error) => Err(Malformed::Other(error.to_string())),
         }
     }
@@ -137,7 +148,12 @@
 }
 
 fn value3(frame: Frame3) -> Result<Value, Malformed> {
-    let all = |frames: Vec<Frame3>| frames.into_iter().map(value3).collect::<Result<Vec<_>, _>>();
+    let all = |frames: Vec<Frame3>| {
+        frames
+            .into_iter()
+            .map(value3)
+            .collect::<Result<Vec<_>, _>>()
+    };
     Ok(match frame {
         Frame3::Null => Value::Nothing,
         Frame3::BlobString { data, .. }
@@ -153,10 +169,14 @@
         Frame3::Push { data, .. } => Value::Push(all(data)?),
         Frame3::Set { data, .. } => Value::List(all(data.into_iter().collect())?),
         Frame3::Map { data, .. } => {
-            let pairs = data.into_iter().map(|(key, held)| Ok((value3(key)?, value3(held)?)));
+            let pairs = data
+                .into_iter()
+                .map(|(key, held)| Ok((value3(key)?, value3(held)?)));
             Value::Map(pairs.collect::<Result<_, _>>()?)
         }
-        Frame3::Hello { .. } => return Err(Malformed::Other("HELLO as a message of its own".to_owned())),
+        Frame3::Hello { .. } => {
+            return Err(Malformed::Other("HELLO as a message of its own".to_owned()))
+        }
         Frame3::ChunkedString(_) => return Err(Malformed::Streamed),
     })
 }
@@ -198,8 +218,15 @@
         }
         Value::Push(_) => {}
         Value::Map(pairs) => {
-            line(if three { format!("%{}\r\n", pairs.len()) } else { format!("*{}\r\n", pairs.len() * 2) });
-            pairs.iter().flat_map(|(key, held)| [key, held]).for_each(|value| reply(value, version, to));
+            line(if three {
+                format!("%{}\r\n", pairs.len())
+            } else {
+                format!("*{}\r\n", pairs.len() * 2)
+            });
+            pairs
+                .iter()
+                .flat_map(|(key, held)| [key, held])
+                .for_each(|value| reply(value, version, to));
         }
     }
 }
--- a/crates/beechcroft-resp/src/scan.rs
+++ b/crates/beechcroft-resp/src/scan.rs
@@ -27,8 +27,9 @@
             }
             // What comes next begins with a line.
             let from = self.at.max(self.looked);
-            let Some(end) =
-                bytes.get(from..).and_then(|rest| rest.windows(2).position(|pair| pair == b"\r\n"))
+            let Some(end) = bytes
+                .get(from..)
+                .and_then(|rest| rest.windows(2).position(|pair| pair == b"\r\n"))
             else {
                 // The last byte may be the first half of a line's end.
                 self.looked = self.at.max(bytes.len().saturating_sub(1));
@@ -43,17 +44,28 @@
             }
             let line = &bytes[self.at..end];
             let after = end + 2;
-            let Some((&kind, rest)) = line.split_first() else { return Err(Malformed::Byte { byte: b'\r' }) };
+            let Some((&kind, rest)) = line.split_first() else {
+                return Err(Malformed::Byte { byte: b'\r' });
+            };
             let (end_at, holds) = match kind {
                 b'+' | b'-' | b':' | b'_' | b'#' | b',' | b'(' => (after, 0),
                 b'$' | b'!' | b'=' => match length(rest)? {
-                    Some(length) => (after.checked_add(length + 2).ok_or(Malformed::TooMuch("bytes"))?, 0),
+                    Some(length) => (
+                        after
+                            .checked_add(length + 2)
+                            .ok_or(Malformed::TooMuch("bytes"))?,
+                        0,
+                    ),
                     None => (after, 0),
                 },
                 b'*' | b'~' | b'>' => (after, length(rest)?.unwrap_or(0)),
-                b'%' | b'|' => {
-                    (after, length(rest)?.unwrap_or(0).checked_mul(2).ok_or(Malformed::TooMuch("values"))?)
-                }
+                b'%' | b'|' => (
+                    after,
+                    length(rest)?
+                        .unwrap_or(0)
+                        .checked_mul(2)
+                        .ok_or(Malformed::TooMuch("values"))?,
+                ),
                 byte => return Err(Malformed::Byte { byte }),
             };
             within(end_at, bounds)?;
@@ -118,5 +130,7 @@
         .ok()
         .filter(|text| text.len() <= 10 && text.bytes().all(|byte| byte.is_ascii_digit()));
     let length = digits.and_then(|digits| digits.parse().ok());
-    length.map(Some).ok_or_else(|| Malformed::Length(String::from_utf8_lossy(text).into_owned()))
+    length
+        .map(Some)
+        .ok_or_else(|| Malformed::Length(String::from_utf8_lossy(text).into_owned()))
 }
--- a/crates/beechcroft-rollout/src/conduct.rs
+++ b/crates/beechcroft-rollout/src/conduct.rs
@@ -107,11 +107,20 @@
 /// What the core counts as the units' own and not the version's, as the relays do: a quarter of them may be ill.
 pub fn excess_of_few(units: &BTreeMap<u16, Count>, good: f64) -> f64 {
     let trials: u32 = units.values().map(|count| count.trials).sum();
-    if !stands(Guard::IllUnitsAreNoVersion) || units.len() < 3 || trials < OF_EACH * units.len() as u32 {
+    if !stands(Guard::IllUnitsAreNoVersion)
+        || units.len() < 3
+        || trials < OF_EACH * units.len() as u32
+    {
         return 0.0;
     }
     let few = (units.len() as f64 * ILL_SHARE).ceil() as usize;
-    excess(units.values().map(|count| nats(*count, good).max(0.0)).collect(), few)
+    excess(
+        units
+            .values()
+            .map(|count| nats(*count, good).max(0.0))
+            .collect(),
+        few,
+    )
 }
 
 fn nats(count: Count, good: f64) -> f64 {
@@ -121,17 +130,28 @@
 
 impl View {
     fn nats(&self, good: f64) -> f64 {
-        nats(Count { trials: self.trials, failures: self.failures }, good) - self.of_few
+        nats(
+            Count {
+                trials: self.trials,
+                failures: self.failures,
+            },
+            good,
+        ) - self.of_few
     }
 
     /// The evidence of this stage on top of what those before it left; as in the paper's running sum, outcomes that
     /// speak for the version do not outweigh later ones.
     fn evidence(&self) -> [f64; 2] {
         let before = match self.before {
-            Some(before) if stands(Guard::EvidenceOfAllStages) => before.nats.map(|nats| nats.max(0.0)),
+            Some(before) if stands(Guard::EvidenceOfAllStages) => {
+                before.nats.map(|nats| nats.max(0.0))
+            }
             _ => [0.0; 2],
         };
-        [before[0] + self.nats(self.good), before[1] + self.nats(LOWEST)]
+        [
+            before[0] + self.nats(self.good),
+            before[1] + self.nats(LOWEST),
+        ]
     }
 
     /// Whether what has been counted so far speaks for a bad version, though not yet enough to go back.
@@ -142,8 +162,11 @@
     /// Whether the stages that are left no longer fit into the ramp: a good version has missed its term then, and a bad
     /// one that too few requests come to for a vote need not stay for ever.
     fn is_too_late(&self) -> bool {
-        let Some(before) = self.before else { return false };
-        let steps = f64::from(LAST.saturating_sub(self.stage + 1)) * STEP_PART * self.ramp_ms as f64;
+        let Some(before) = self.before else {
+            return false;
+        };
+        let steps =
+            f64::from(LAST.saturating_sub(self.stage + 1)) * STEP_PART * self.ramp_ms as f64;
         let last = if self.stage < LAST { LAST_LEAST_MS } else { 0 };
         before.ms + self.stage_ms + steps as u64 + last > self.ramp_ms
     }
@@ -159,12 +182,18 @@
     /// And nothing may speak against the version: how little is at stake is reckoned by the requests that came so far, and
     /// three times as many may come a second later. One failure of a few outcomes is 1.8 nats.
     fn risks_little(&self, passed: f64) -> bool {
-        let Some(before) = self.before else { return false };
+        let Some(before) = self.before else {
+            return false;
+        };
         let told = self.asked > 0 || passed >= UNTOLD_STEPS * STEP_PART;
         if !told || stands(Guard::FewOutcomesByLowestRate) && self.evidence()[1] > 0.0 {
             return false;
         }
-        let before = if stands(Guard::ExposureOfAllStages) { before } else { Before::default() };
+        let before = if stands(Guard::ExposureOfAllStages) {
+            before
+        } else {
+            Before::default()
+        };
         let asked = before.asked + f64::from(self.asked);
         let got = before.exposed + f64::from(self.asked) * share(self.stage, self.canary_share);
         let soon = self.rate.max(before.rate) * BACK_S;
@@ -201,7 +230,8 @@
     let passed = view.stage_ms as f64 / view.ramp_ms.max(1) as f64;
     // Nothing goes on over an alarm, nor to units that could not carry what the next stage brings.
     let share = share(view.stage + 1, view.canary_share);
-    let bears = f64::from(view.new_slots) >= 0.6 * share * f64::from(view.old_slots.max(view.new_slots));
+    let bears =
+        f64::from(view.new_slots) >= 0.6 * share * f64::from(view.old_slots.max(view.new_slots));
     if view.is_doubtful() && view.is_too_late() && stands(Guard::DoubtAtTheEnd) {
         return Next::Back;
     }
@@ -210,7 +240,8 @@
     }
     match view.stage {
         0 => {
-            let waited = passed >= TRIAL_PART * 1.2 && (view.trials >= SOME || view.risks_little(passed));
+            let waited =
+                passed >= TRIAL_PART * 1.2 && (view.trials >= SOME || view.risks_little(passed));
             if passed >= TRIAL_PART && (view.trials >= ENOUGH || waited) && view.trials > 0 {
                 Next::On(1)
             } else {
@@ -218,7 +249,8 @@
             }
         }
         LAST => {
-            let ended = view.old_open == 0 && view.stage_ms >= LAST_LEAST_MS || view.stage_ms >= 2200;
+            let ended =
+                view.old_open == 0 && view.stage_ms >= LAST_LEAST_MS || view.stage_ms >= 2200;
             if ended && (view.trials >= LAST_SOME || view.stage_ms >= LAST_MS) {
                 Next::Complete
             } else {
--- a/crates/beechcroft-rollout/src/lib.rs
+++ b/crates/beechcroft-rollout/src/lib.rs
@@ -125,7 +125,11 @@
             0..3 => 0,
             units => (units as f64 * ILL_SHARE).ceil() as usize,
         };
-        self.all.w - excess(self.units.values().map(|unit| unit.w.max(0.0)).collect(), few)
+        self.all.w
+            - excess(
+                self.units.values().map(|unit| unit.w.max(0.0)).collect(),
+                few,
+            )
     }
 }
 
@@ -172,7 +176,13 @@
                     (trial.units, trial.told) = (BTreeMap::new(), BTreeMap::new());
                 }
             }
-            _ => self.trial = Some(Trial { begun, stage, ..Trial::default() }),
+            _ => {
+                self.trial = Some(Trial {
+                    begun,
+                    stage,
+                    ..Trial::default()
+                })
+            }
         }
     }
 
@@ -182,7 +192,10 @@
 
     /// What nearly all of the earlier build's answers on a route take, once enough are known.
     pub fn usual(&self, route: u32) -> Option<Duration> {
-        let past = self.past.get(&route).filter(|past| past.times.total() >= BASELINE)?;
+        let past = self
+            .past
+            .get(&route)
+            .filter(|past| past.times.total() >= BASELINE)?;
         Some(Histogram::edge(past.times.bin_at(SLOW_SHARE)))
     }
 
@@ -194,7 +207,16 @@
     /// from unit to unit, and an offer beside a slow one is dropped as soon as that one is answered. The sum takes
     /// outcomes to be independent.
     pub fn outcome(&mut self, outcome: Outcome) {
-        let Outcome { on_trial, route, failed, spent, free, first, cold, beaten } = outcome;
+        let Outcome {
+            on_trial,
+            route,
+            failed,
+            spent,
+            free,
+            first,
+            cold,
+            beaten,
+        } = outcome;
         let cold = cold && stands(Guard::ColdIsNoBuild);
         if stands(Guard::FirstOffersOnly) && !first || cold && beaten {
             return;
@@ -207,7 +229,10 @@
                 .filter(|_| stands(Guard::SlowMarkOfAll))
                 .map(|from| from.mul_f64(LOADED))
         };
-        let slow_from = past.slow_from().map(|from| from.mul_f64(times)).or_else(of_all);
+        let slow_from = past
+            .slow_from()
+            .map(|from| from.mul_f64(times))
+            .or_else(of_all);
         let failed = failed || !cold && slow_from.is_some_and(|from| spent > from);
         let Some(unit) = on_trial else {
             past.failures.add(failed, KEEP);
@@ -238,10 +263,9 @@
 
     /// The good rate over all routes, as they were used.
     fn good(&self) -> f64 {
-        let (failures, trials) = self
-            .past
-            .values()
-            .fold((0.0, 0.0), |(f, t), past| (f + past.failures.failures, t + past.failures.trials));
+        let (failures, trials) = self.past.values().fold((0.0, 0.0), |(f, t), past| {
+            (f + past.failures.failures, t + past.failures.trials)
+        });
         (failures / (trials + 20.0)).max(0.01)
     }
 
@@ -249,7 +273,9 @@
     pub fn tick(&mut self, peers: &[Word]) -> Option<Stand> {
         let good = self.good();
         let mut own = Histogram::default();
-        self.past.values().for_each(|past| own.join(past.times.counts()));
+        self.past
+            .values()
+            .for_each(|past| own.join(past.times.counts()));
         let trial = self.trial.as_mut()?;
         let times = own.counts().to_vec();
         peers.iter().for_each(|peer| own.join(&peer.times));
@@ -257,21 +283,30 @@
         trial.sums.values_mut().for_each(Sum::tick);
         trial.rate += (std::mem::take(&mut trial.tick_outcomes) - trial.rate) * RATE_PART;
         trial.divergence = cusum::divergence(good, trial.rate);
-        let largest = peers.iter().map(|peer| peer.divergence).fold(trial.divergence.max(1e-9), f64::max);
+        let largest = peers
+            .iter()
+            .map(|peer| peer.divergence)
+            .fold(trial.divergence.max(1e-9), f64::max);
         // Only relays that see trial outcomes can set a bit: with fewer than M of them, those must suffice.
-        let seeing =
-            peers.iter().filter(|peer| peer.count.trials > 0).count() + usize::from(trial.count.trials > 0);
+        let seeing = peers.iter().filter(|peer| peer.count.trials > 0).count()
+            + usize::from(trial.count.trials > 0);
         let alarms_m = ALARMS_M.min(seeing.max(1) as f64);
         let worst = trial.sums.values().map(Sum::w).fold(0.0, f64::max);
         let threshold = cusum::threshold(trial.divergence / largest, alarms_m);
         trial.bit = trial.count.trials >= MIN_OUTCOMES && worst > threshold;
-        let bits =
-            peers.iter().map(|peer| (peer.alarm, peer.divergence)).chain([(trial.bit, trial.divergence)]);
+        let bits = peers
+            .iter()
+            .map(|peer| (peer.alarm, peer.divergence))
+            .chain([(trial.bit, trial.divergence)]);
         let fused = cusum::fuse(bits, largest);
         let together = trial.together(good, peers);
         // A little is lost in weighing: M bits of nearly equal weight are M.
         let back = fused >= alarms_m * 0.9 || together;
-        let units = trial.units.iter().map(|(&unit, &count)| (unit, count)).collect();
+        let units = trial
+            .units
+            .iter()
+            .map(|(&unit, &count)| (unit, count))
+            .collect();
         Some(Stand {
             bit: trial.bit,
             divergence: trial.divergence,
@@ -295,13 +330,18 @@
         for (&unit, &count) in &all {
             let told = self.told.entry(unit).or_default();
             let failures = count.failures.saturating_sub(told.failures);
-            let fine = count.trials.saturating_sub(told.trials).saturating_sub(failures);
+            let fine = count
+                .trials
+                .saturating_sub(told.trials)
+                .saturating_sub(failures);
             let ratio = f64::from(failures) * cusum::log_ratio(good, true)
                 + f64::from(fine) * cusum::log_ratio(good, false);
             self.fleet.add(unit, ratio);
             // A peer that lapsed is not counted again when it is heard again.
-            *told =
-                Count { trials: count.trials.max(told.trials), failures: count.failures.max(told.failures) };
+            *told = Count {
+                trials: count.trials.max(told.trials),
+                failures: count.failures.max(told.failures),
+            };
         }
         self.fleet.tick();
         let trials: u32 = all.values().map(|count| count.trials).sum();
@@ -311,6 +351,7 @@
 
 /// A unit's short name in signs.
 pub fn short(id: &str) -> u16 {
-    id.bytes().fold(0xcbf2_9ce4_8422_2325, |sum: u64, b| (sum ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
-        as u16
+    id.bytes().fold(0xcbf2_9ce4_8422_2325, |sum: u64, b| {
+        (sum ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    }) as u16
 }
--- a/crates/beechcroft-routing/src/lib.rs
+++ b/crates/beechcroft-routing/src/lib.rs
@@ -26,12 +26,18 @@
     }
 
     /// The key of a request: what the operator names, else the path below the prefix. `header` finds a value.
-    pub fn key<'a>(&self, target: &'a str, header: impl FnOnce(&str) -> Option<&'a str>) -> &'a str {
+    pub fn key<'a>(
+        &self,
+        target: &'a str,
+        header: impl FnOnce(&str) -> Option<&'a str>,
+    ) -> &'a str {
         let path = target.split('?').next().unwrap_or(target);
         let below = path.get(self.prefix.len()..).unwrap_or("");
         match &self.key {
             None => below,
-            Some(KeyPart { segment: Some(at), .. }) => below.split('/').nth(at - 1).unwrap_or(""),
+            Some(KeyPart {
+                segment: Some(at), ..
+            }) => below.split('/').nth(at - 1).unwrap_or(""),
             Some(KeyPart { header: name, .. }) => name.as_deref().and_then(header).unwrap_or(""),
         }
     }
@@ -40,7 +46,11 @@
     pub fn service(&self, draw: f64) -> usize {
         let all = self.parts.last().map_or(0, |&(_, sum)| sum);
         let at = (draw * f64::from(all)) as u32;
-        self.parts.iter().find(|&&(_, sum)| at < sum).or(self.parts.last()).map_or(0, |&(service, _)| service)
+        self.parts
+            .iter()
+            .find(|&&(_, sum)| at < sum)
+            .or(self.parts.last())
+            .map_or(0, |&(service, _)| service)
     }
 }
 
@@ -57,14 +67,21 @@
 
 /// The part of a path or prefix up to its second slash, which all its matches share.
 fn first_segment(path: &str) -> &str {
-    let end = path.get(1..).and_then(|rest| rest.find('/')).map_or(path.len(), |at| at + 2);
+    let end = path
+        .get(1..)
+        .and_then(|rest| rest.find('/'))
+        .map_or(path.len(), |at| at + 2);
     &path[..end]
 }
 
 impl Table {
     pub fn new(config: &Config) -> Table {
-        let place: HashMap<&str, usize> =
-            config.services.iter().enumerate().map(|(at, service)| (service.name.as_str(), at)).collect();
+        let place: HashMap<&str, usize> = config
+            .services
+            .iter()
+            .enumerate()
+            .map(|(at, service)| (service.name.as_str(), at))
+            .collect();
         let mut table = Table {
             version: config.version,
             limits: config.limits.clone(),
@@ -73,7 +90,10 @@
             ways: Vec::new(),
         };
         for host in &config.virtual_hosts {
-            let rules = table.hosts.entry(host.hostname.to_ascii_lowercase()).or_default();
+            let rules = table
+                .hosts
+                .entry(host.hostname.to_ascii_lowercase())
+                .or_default();
             for route in &host.path_rules {
                 let segment = first_segment(&route.path_prefix).to_owned();
                 rules.entry(segment).or_default().push(table.ways.len());
@@ -99,7 +119,10 @@
             }
         };
         let within = |key: &str| {
-            let found = rules.get(key)?.iter().find(|&&at| path.starts_with(&self.ways[at].prefix))?;
+            let found = rules
+                .get(key)?
+                .iter()
+                .find(|&&at| path.starts_with(&self.ways[at].prefix))?;
             Some((*found, &self.ways[*found]))
         };
         within(first_segment(path)).or_else(|| within("/"))
@@ -153,7 +176,11 @@
     #[test]
     fn the_longest_prefix_wins_and_a_raw_path_is_not_mended() {
         let table = table();
-        let name = |path| table.find("H.example:80", path).map(|(_, way)| way.name.as_str());
+        let name = |path| {
+            table
+                .find("H.example:80", path)
+                .map(|(_, way)| way.name.as_str())
+        };
         assert_eq!(name("/x/y/z?q=/"), Some("r2"));
         assert_eq!(name("/x/yy"), Some("r1"));
         assert_eq!(name("/x"), None);
--- a/crates/beechcroft-safeguards/src/lib.rs
+++ b/crates/beechcroft-safeguards/src/lib.rs
@@ -6,7 +6,11 @@
     feature = "removable",
     derive(serde::Deserialize, serde::Serialize, strum::EnumIter, strum::Display)
 )]
-#[cfg_attr(feature = "removable", serde(rename_all = "snake_case"), strum(serialize_all = "snake_case"))]
+#[cfg_attr(
+    feature = "removable",
+    serde(rename_all = "snake_case"),
+    strum(serialize_all = "snake_case")
+)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
     // Contact with a majority.
--- a/crates/beechcroft-settings/src/lib.rs
+++ b/crates/beechcroft-settings/src/lib.rs
@@ -42,7 +42,12 @@
         }
     }
     /// An optional value is taken by `or`; a present one of the wrong type is an error all the same.
-    fn read<T>(&self, key: &str, or: Option<T>, as_type: fn(&'a Value) -> Option<T>) -> Result<T, String> {
+    fn read<T>(
+        &self,
+        key: &str,
+        or: Option<T>,
+        as_type: fn(&'a Value) -> Option<T>,
+    ) -> Result<T, String> {
         match self.0.get(key) {
             None | Some(Value::Null) => or.ok_or_else(|| self.lacks(key)),
             Some(value) => as_type(value).ok_or_else(|| self.lacks(key)),
@@ -53,7 +58,10 @@
     }
     /// A part of a whole.
     fn share(&self, key: &str, value: f64) -> Result<f64, String> {
-        (0.0..=1.0).contains(&value).then_some(value).ok_or_else(|| self.out_of_range(key))
+        (0.0..=1.0)
+            .contains(&value)
+            .then_some(value)
+            .ok_or_else(|| self.out_of_range(key))
     }
     fn shares(&self, key: &str, values: &[Value]) -> Result<Vec<f64>, String> {
         let value = |value: &Value| self.share(key, value.as_f64().ok_or_else(|| self.lacks(key))?);
@@ -95,11 +103,19 @@
         self.read(key, None, |value| value.as_array().map(Vec::as_slice))
     }
     fn list_or_empty(&self, key: &str) -> Result<&'a [Value], String> {
-        self.read(key, Some(&[][..]), |value| value.as_array().map(Vec::as_slice))
+        self.read(key, Some(&[][..]), |value| {
+            value.as_array().map(Vec::as_slice)
+        })
     }
     fn words(&self, key: &str) -> Result<Vec<String>, String> {
         let words = self.list(key)?.iter();
-        words.map(|word| word.as_str().map(str::to_owned).ok_or_else(|| self.lacks(key))).collect()
+        words
+            .map(|word| {
+                word.as_str()
+                    .map(str::to_owned)
+                    .ok_or_else(|| self.lacks(key))
+            })
+            .collect()
     }
 }
 
@@ -208,7 +224,10 @@
         votes_per_s: rollout.number("calls_per_s")?,
         on_votes: rollout.count_or("on_votes", 0)?,
         delay_price: rollout.number_or("delay_price", 0.0)?,
-        complaint_share: rollout.share("complaint_share", rollout.number_or("complaint_share", 0.0)?)?,
+        complaint_share: rollout.share(
+            "complaint_share",
+            rollout.number_or("complaint_share", 0.0)?,
+        )?,
     };
     let kinds = all.words("kinds").unwrap_or_default();
     let transport = Transport {
@@ -219,5 +238,12 @@
     if transport.dial_time_out.is_zero() {
         return Err(limits.out_of_range("dial_timeout_s"));
     }
-    Ok(Named { settings, transport, tracks: names, tenants, zones, kinds })
+    Ok(Named {
+        settings,
+        transport,
+        tracks: names,
+        tenants,
+        zones,
+        kinds,
+    })
 }
--- a/crates/beechcroft-shared/src/breaker.rs
+++ b/crates/beechcroft-shared/src/breaker.rs
@@ -49,7 +49,10 @@
 
 impl Breaker {
     pub fn new(waits: Waits) -> Breaker {
-        Breaker { waits, state: State::Closed { vain: 0 } }
+        Breaker {
+            waits,
+            state: State::Closed { vain: 0 },
+        }
     }
 
     pub fn is_open(&self) -> bool {
@@ -61,7 +64,9 @@
         let wait = quoted.mul_f64(self.waits.part).min(self.waits.most);
         match self.state {
             State::Closed { .. } => May::Wait(wait),
-            State::Open { until, pause } if now >= until + pause.mul_f64(lot.clamp(0.0, 1.0) / 4.0) => {
+            State::Open { until, pause }
+                if now >= until + pause.mul_f64(lot.clamp(0.0, 1.0) / 4.0) =>
+            {
                 self.state = State::Probing { since: now, pause };
                 May::Probe(wait)
             }
@@ -99,6 +104,9 @@
     }
 
     fn open(&mut self, now: Duration, pause: Duration) {
-        self.state = State::Open { until: now + pause, pause };
+        self.state = State::Open {
+            until: now + pause,
+            pause,
+        };
     }
 }
--- a/crates/beechcroft-shared/src/escrow.rs
+++ b/crates/beechcroft-shared/src/escrow.rs
@@ -68,12 +68,19 @@
 
 impl Escrow {
     pub fn new(me: Holder) -> Escrow {
-        Escrow { me, accounts: HashMap::new(), forgotten: None, next: 0 }
+        Escrow {
+            me,
+            accounts: HashMap::new(),
+            forgotten: None,
+            next: 0,
+        }
     }
 
     /// What this relay may have in all where its own share is `share` now: less what it gave, and what it got.
     pub fn allowance(&mut self, stake: &Stake, share: Milli) -> Milli {
-        let Some(account) = self.accounts.get_mut(stake) else { return share };
+        let Some(account) = self.accounts.get_mut(stake) else {
+            return share;
+        };
         let least = account.share.map_or(share, |least| least.min(share));
         account.share = Some(least);
         Milli(share.0.saturating_sub(account.given) + account.got)
@@ -109,7 +116,8 @@
     /// Takes a gift that the store's reply has told of; what it adds, which is nothing where it is not for this run or was
     /// taken before.
     pub fn take(&mut self, gift: &Gift) -> Milli {
-        if gift.to != self.me || gift.from.relay == self.me.relay || self.is_forgotten(&gift.stake) {
+        if gift.to != self.me || gift.from.relay == self.me.relay || self.is_forgotten(&gift.stake)
+        {
             return Milli(0);
         }
         let account = self.accounts.entry(gift.stake.clone()).or_default();
@@ -131,12 +139,20 @@
     }
 
     fn is_forgotten(&self, stake: &Stake) -> bool {
-        !self.accounts.contains_key(stake) && self.forgotten.is_some_and(|until| stake.started <= until)
+        !self.accounts.contains_key(stake)
+            && self.forgotten.is_some_and(|until| stake.started <= until)
     }
 
     fn make_room(&mut self) {
         while self.accounts.len() > STAKES {
-            let Some(first) = self.accounts.keys().min_by_key(|stake| stake.started).cloned() else { return };
+            let Some(first) = self
+                .accounts
+                .keys()
+                .min_by_key(|stake| stake.started)
+                .cloned()
+            else {
+                return;
+            };
             self.forgotten = self.forgotten.max(Some(first.started));
             self.accounts.remove(&first);
         }
--- a/crates/beechcroft-shared/src/pressure.rs
+++ b/crates/beechcroft-shared/src/pressure.rs
@@ -32,7 +32,10 @@
 
 impl Pressure {
     pub fn new(span: Duration) -> Pressure {
-        Pressure { span: span.max(Duration::from_millis(1)), counts: HashMap::new() }
+        Pressure {
+            span: span.max(Duration::from_millis(1)),
+            counts: HashMap::new(),
+        }
     }
 
     /// Something was sent to a cold unit.
@@ -46,7 +49,10 @@
     /// that only seemed lost would count twice.
     pub fn due(&mut self, now: Duration) -> Vec<(Stake, Milli)> {
         let is_due = |count: &Count| count.told_at.is_none_or(|at| now >= at + TOLD_EVERY);
-        let due = self.counts.iter_mut().filter(|(_, count)| count.untold > 0 && is_due(count));
+        let due = self
+            .counts
+            .iter_mut()
+            .filter(|(_, count)| count.untold > 0 && is_due(count));
         due.map(|(stake, count)| {
             let more = std::mem::take(&mut count.untold);
             count.told = count.told.saturating_add(more);
@@ -59,17 +65,23 @@
     /// The store's total for a unit, as its reply tells it. One that falls, as of a store that restarted, takes nothing back.
     pub fn total(&mut self, now: Duration, stake: &Stake, total: Milli) {
         let span = self.span;
-        let Some(count) = self.count(stake) else { return };
+        let Some(count) = self.count(stake) else {
+            return;
+        };
         let others = total.0.saturating_sub(count.told);
         let last = count.others.back().copied();
         let others = others.max(last.map_or(0, |(_, others)| others));
         match last {
-            Some((at, _)) if now < at + span / 10 && count.others.len() > 1 => count.others.pop_back(),
+            Some((at, _)) if now < at + span / 10 && count.others.len() > 1 => {
+                count.others.pop_back()
+            }
             _ => None,
         };
         count.others.push_back((now, others));
         // One that is older than the span is kept, to reckon from.
-        while count.others.len() > TOTALS || count.others.get(1).is_some_and(|(at, _)| *at + span <= now) {
+        while count.others.len() > TOTALS
+            || count.others.get(1).is_some_and(|(at, _)| *at + span <= now)
+        {
             count.others.pop_front();
         }
     }
@@ -77,14 +89,22 @@
     /// What this relay may send to a unit in a span, where `own` is its share and all shares together `whole`: its share,
     /// less what others have sent beyond theirs.
     pub fn allowance(&self, now: Duration, stake: &Stake, own: Milli, whole: Milli) -> Milli {
-        let Some(count) = self.counts.get(stake) else { return own };
-        let (Some((first_at, first)), Some((at, last))) = (count.others.front(), count.others.back()) else {
+        let Some(count) = self.counts.get(stake) else {
+            return own;
+        };
+        let (Some((first_at, first)), Some((at, last))) =
+            (count.others.front(), count.others.back())
+        else {
             return own;
         };
         // What was heard longer ago than the span is over; where all that is known came since, it counts from nothing.
         let begun = now.saturating_sub(self.span);
         let before = if *first_at <= begun { *first } else { 0 };
-        let lately = if *at <= begun && now >= self.span { 0 } else { last - before };
+        let lately = if *at <= begun && now >= self.span {
+            0
+        } else {
+            last - before
+        };
         own.min(Milli(whole.0.saturating_sub(lately)))
     }
 
