--- a/crates/beechcroft-simulator/src/units.rs
+++ b/crates/beechcroft-simulator/src/units.rs
@@ -28,7 +28,16 @@
 impl Unit {
     pub fn new(id: &str, region: usize, zone: usize, slots: usize, queue: usize) -> Unit {
         let (running, waiting) = (Vec::new(), VecDeque::new());
-        Unit { id: id.into(), region, zone, slots, queue, alive: true, running, waiting }
+        Unit {
+            id: id.into(),
+            region,
+            zone,
+            slots,
+            queue,
+            alive: true,
+            running,
+            waiting,
+        }
     }
 
     pub fn take(&mut self, request: u64) -> Taken {
@@ -57,7 +66,10 @@
     /// It ends at once; what it was at work on, and what waited.
     pub fn crash(&mut self) -> (Vec<u64>, Vec<u64>) {
         self.alive = false;
-        (std::mem::take(&mut self.running), std::mem::take(&mut self.waiting).into())
+        (
+            std::mem::take(&mut self.running),
+            std::mem::take(&mut self.waiting).into(),
+        )
     }
 
     pub fn load(&self) -> u32 {
--- a/crates/beechcroft-simulator/src/whole/day/watch.rs
+++ b/crates/beechcroft-simulator/src/whole/day/watch.rs
@@ -11,14 +11,20 @@
     pub(super) async fn watches(self: Rc<Self>) {
         let ground = Ground::world(Rc::new(self.stage.fabric.seat(operator())));
         loop {
-            let cores: Vec<Rc<Machine>> =
-                self.machines.borrow().iter().filter(|m| m.core && !m.gone.get()).cloned().collect();
+            let cores: Vec<Rc<Machine>> = self
+                .machines
+                .borrow()
+                .iter()
+                .filter(|m| m.core && !m.gone.get())
+                .cloned()
+                .collect();
             for core in cores {
                 let (day, ground) = (self.clone(), ground.clone());
                 spawn_local(async move {
                     let to = SocketAddrV4::new(core.ip, INSIDE[0]);
                     let within = Duration::from_millis(400);
-                    let Some((_, body)) = call(&ground, to, "POST", "/show", b"", within).await else {
+                    let Some((_, body)) = call(&ground, to, "POST", "/show", b"", within).await
+                    else {
                         return;
                     };
                     let held = held(&String::from_utf8_lossy(&body));
@@ -35,6 +41,9 @@
 }
 
 fn held(text: &str) -> Option<String> {
-    let line = text.lines().find_map(|line| line.strip_prefix("membership "))?;
-    line.split_once(" at epoch ").map(|(voter_id, _)| voter_id.to_owned())
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix("membership "))?;
+    line.split_once(" at epoch ")
+        .map(|(voter_id, _)| voter_id.to_owned())
 }
--- a/crates/beechcroft-simulator/src/whole/scenario.rs
+++ b/crates/beechcroft-simulator/src/whole/scenario.rs
@@ -381,7 +381,9 @@
 }
 
 /// Broken parts, one for each rule.
-#[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, strum::EnumIter, strum::Display)]
+#[derive(
+    Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, strum::EnumIter, strum::Display,
+)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Mutant {
@@ -468,8 +470,11 @@
 
     /// Reads a file's text; a fault names key and line.
     pub fn read(text: &str) -> Result<Scenario, String> {
-        let scenario: Scenario = toml::from_str(text).map_err(|e| e.to_string().trim_end().to_owned())?;
-        scenario.validate().map_err(|report| report.to_string().trim_end().to_owned())?;
+        let scenario: Scenario =
+            toml::from_str(text).map_err(|e| e.to_string().trim_end().to_owned())?;
+        scenario
+            .validate()
+            .map_err(|report| report.to_string().trim_end().to_owned())?;
         for event in &scenario.event {
             scenario.check(event)?;
         }
@@ -479,18 +484,23 @@
     fn check(&self, event: &Event) -> Result<(), String> {
         let known = |service: &str| super::day::SERVICES.iter().any(|held| held.0 == service);
         let service = match &event.what {
-            What::Rollout { service, .. } | What::Drain { service, .. } | What::Add { service, .. } => {
-                service
-            }
-            What::Crash { service, .. } | What::Ill { service, .. } | What::Cold { service, .. } => service,
-            What::Flap { service, .. } | What::Dark { service, .. } | What::Answers { service, .. } => {
-                service
-            }
+            What::Rollout { service, .. }
+            | What::Drain { service, .. }
+            | What::Add { service, .. } => service,
+            What::Crash { service, .. }
+            | What::Ill { service, .. }
+            | What::Cold { service, .. } => service,
+            What::Flap { service, .. }
+            | What::Dark { service, .. }
+            | What::Answers { service, .. } => service,
             _ => return Ok(()),
         };
         match known(service) {
             true => Ok(()),
-            false => Err(format!("event at {}: service `{service}` is not known", event.at)),
+            false => Err(format!(
+                "event at {}: service `{service}` is not known",
+                event.at
+            )),
         }
     }
 }
--- a/crates/beechcroft-simulator/src/whole/wires.rs
+++ b/crates/beechcroft-simulator/src/whole/wires.rs
@@ -111,8 +111,16 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
-    Evacuate { zone: String, begin: bool },
-    Rollout { service: String, target: String, bad: bool, until: u64 },
+    Evacuate {
+        zone: String,
+        begin: bool,
+    },
+    Rollout {
+        service: String,
+        target: String,
+        bad: bool,
+        until: u64,
+    },
 }
 
 /// Trouble on a machine, on the core (`core`), or everywhere (`*`), from one time to another.
