--- a/crates/beechcroft-storage/src/frame.rs
+++ b/crates/beechcroft-storage/src/frame.rs
@@ -25,7 +25,8 @@
 }
 
 pub fn write<'a>(
-    number: u64, records: impl ExactSizeIterator<Item = (&'a str, &'a [u8])> + Clone,
+    number: u64,
+    records: impl ExactSizeIterator<Item = (&'a str, &'a [u8])> + Clone,
 ) -> Vec<u8> {
     let heads: usize = records.clone().map(|(name, _)| 1 + name.len() + 8).sum();
     let values: usize = records.clone().map(|(_, value)| value.len()).sum();
@@ -66,12 +67,22 @@
             let (length, after) = after.split_first_chunk::<4>()?;
             let (sum, after) = after.split_first_chunk::<4>()?;
             let place = at..at + u32::from_le_bytes(*length) as usize;
-            let sound = bytes.get(place.clone()).is_some_and(|v| sum_of(v) == u32::from_le_bytes(*sum));
+            let sound = bytes
+                .get(place.clone())
+                .is_some_and(|v| sum_of(v) == u32::from_le_bytes(*sum));
             at = place.end;
-            parts.push(Part { name, at: place, sound });
+            parts.push(Part {
+                name,
+                at: place,
+                sound,
+            });
             rest = after;
         }
-        Some(Frame { number: u64::from_le_bytes(*number), parts, length: at })
+        Some(Frame {
+            number: u64::from_le_bytes(*number),
+            parts,
+            length: at,
+        })
     }
 
     /// The next entry with a sound head from a place on, numbered above `above`.
--- a/crates/beechcroft-storage/src/lib.rs
+++ b/crates/beechcroft-storage/src/lib.rs
@@ -72,7 +72,12 @@
         Ok(())
     }
 
-    fn checkpoint_to(&mut self, _: EntryId, _: &mut SegmentReader, _: &WriteAheadLog) -> io::Result<()> {
+    fn checkpoint_to(
+        &mut self,
+        _: EntryId,
+        _: &mut SegmentReader,
+        _: &WriteAheadLog,
+    ) -> io::Result<()> {
         Ok(())
     }
 }
@@ -103,14 +108,20 @@
     pub fn open(folder: &Path) -> io::Result<Cache> {
         let found = Files::load(folder).found();
         if !found.damage.is_none() {
-            return Err(io::Error::new(ErrorKind::InvalidData, found.damage.to_string()));
+            return Err(io::Error::new(
+                ErrorKind::InvalidData,
+                found.damage.to_string(),
+            ));
         }
         Cache::begin(folder, found)
     }
 
     /// Opens a folder whatever is in it. `repair` is told of damage and makes the table such that it may be gone by; what
     /// it makes is on disk before this returns. The damaged files are kept beside.
-    pub fn open_repaired(folder: &Path, repair: impl FnOnce(&Damage, &mut Table)) -> io::Result<Cache> {
+    pub fn open_repaired(
+        folder: &Path,
+        repair: impl FnOnce(&Damage, &mut Table),
+    ) -> io::Result<Cache> {
         let mut found = Files::load(folder).found();
         if !found.damage.is_none() {
             // Only for a person who looks into it.
@@ -126,7 +137,12 @@
     fn begin(folder: &Path, found: Found) -> io::Result<Cache> {
         fs::create_dir_all(folder)?;
         let Found { table, last, .. } = found;
-        let mut cache = Cache { folder: folder.to_owned(), table, last, log: None };
+        let mut cache = Cache {
+            folder: folder.to_owned(),
+            table,
+            last,
+            log: None,
+        };
         cache.fold()?;
         for old in fs::read_dir(folder)?.filter_map(Result::ok) {
             if is_of_001(&old.file_name().to_string_lossy()) {
@@ -148,15 +164,25 @@
     /// Keeps records; once it returns they outlast a loss of power. One sync for all of them. After an error none of
     /// them is in the table, and on disk are all of them or none.
     pub fn write(&mut self, records: &[(String, Vec<u8>)]) -> io::Result<()> {
-        if records.len() > usize::from(u16::MAX) || records.iter().any(|(name, _)| name.len() > 255) {
-            return Err(io::Error::new(ErrorKind::InvalidInput, "too many records, or too long a name"));
+        if records.len() > usize::from(u16::MAX) || records.iter().any(|(name, _)| name.len() > 255)
+        {
+            return Err(io::Error::new(
+                ErrorKind::InvalidInput,
+                "too many records, or too long a name",
+            ));
         }
         if self.log.as_ref().is_none_or(|log| log.written > FOLD_BYTES) {
             self.fold()?;
         }
-        let log = self.log.as_mut().ok_or_else(|| io::Error::other("the log is closed"))?;
+        let log = self
+            .log
+            .as_mut()
+            .ok_or_else(|| io::Error::other("the log is closed"))?;
         self.last += 1;
-        let entry = frame::write(self.last, records.iter().map(|(name, value)| (&name[..], &value[..])));
+        let entry = frame::write(
+            self.last,
+            records.iter().map(|(name, value)| (&name[..], &value[..])),
+        );
         if let Err(e) = log.append(&entry) {
             // Nothing may be written behind what may have torn, and what a failed sync left is not to be trusted.
             self.log = None;
@@ -200,7 +226,10 @@
     fn begin_log(&self, folder: &Path) -> io::Result<Log> {
         let mut log = Log::begin(folder, &self.folder.join(MARK), self.last)?;
         File::open(&self.folder)?.sync_all()?;
-        let records = self.table.iter().map(|(name, value)| (&name[..], &value[..]));
+        let records = self
+            .table
+            .iter()
+            .map(|(name, value)| (&name[..], &value[..]));
         let snapshot = [&SNAPSHOT_MAGIC[..], &frame::write(self.last, records)].concat();
         self.replace(SNAPSHOT, &snapshot)?;
         log.mark(self.last);
@@ -230,8 +259,16 @@
             .checkpoint_after_bytes(u64::MAX)
             .buffer_bytes(8 << 10)
             .open(Nothing)?;
-        let mark = File::options().create(true).truncate(false).write(true).open(mark)?;
-        let mut log = Log { wal, mark, written: 0 };
+        let mark = File::options()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(mark)?;
+        let mut log = Log {
+            wal,
+            mark,
+            written: 0,
+        };
         log.append(&frame::write(number, std::iter::empty()))?;
         File::open(folder)?.sync_all()?;
         Ok(log)
@@ -268,11 +305,18 @@
 /// The logs of a folder, the newest last.
 fn logs(folder: &Path) -> io::Result<Vec<(u64, PathBuf)>> {
     let number = |path: PathBuf| {
-        let number = path.file_name()?.to_str()?.strip_prefix(LOG)?.parse().ok()?;
+        let number = path
+            .file_name()?
+            .to_str()?
+            .strip_prefix(LOG)?
+            .parse()
+            .ok()?;
         Some((number, path))
     };
-    let mut logs: Vec<_> =
-        fs::read_dir(folder)?.filter_map(Result::ok).filter_map(|entry| number(entry.path())).collect();
+    let mut logs: Vec<_> = fs::read_dir(folder)?
+        .filter_map(Result::ok)
+        .filter_map(|entry| number(entry.path()))
+        .collect();
     logs.sort();
     Ok(logs)
 }
@@ -284,8 +328,13 @@
 
 impl Files {
     pub fn load(folder: &Path) -> Files {
-        let names = fs::read_dir(folder).into_iter().flatten().filter_map(Result::ok);
-        let of_001 = names.into_iter().any(|entry| is_of_001(&entry.file_name().to_string_lossy()));
+        let names = fs::read_dir(folder)
+            .into_iter()
+            .flatten()
+            .filter_map(Result::ok);
+        let of_001 = names
+            .into_iter()
+            .any(|entry| is_of_001(&entry.file_name().to_string_lossy()));
         let mut unreadable = Vec::new();
         let mut file = |path: PathBuf| match fs::read(&path) {
             Ok(bytes) => Some(bytes),
@@ -306,11 +355,20 @@
             let mut logs = logs(folder).unwrap_or_default();
             let own = logs.iter().position(|(number, _)| Some(*number) == held);
             let log = own.map(|at| logs.swap_remove(at)).or_else(|| logs.pop());
-            let (log_of, log) = log.map_or((0, None), |(number, path)| (number, file(path.join("wal-1"))));
+            let (log_of, log) = log.map_or((0, None), |(number, path)| {
+                (number, file(path.join("wal-1")))
+            });
             // Another one, if it was folded meanwhile.
             let again = file(folder.join(SNAPSHOT));
             if again == snapshot {
-                return Files { snapshot, log, log_of, mark, of_001, unreadable };
+                return Files {
+                    snapshot,
+                    log,
+                    log_of,
+                    mark,
+                    of_001,
+                    unreadable,
+                };
             }
             snapshot = again;
         }
@@ -324,45 +382,65 @@
 
     /// The number of the last entry known to be synced; 0 if the mark does not say.
     fn marked(&self) -> u64 {
-        let (number, sum) = match self.mark.as_ref().and_then(|mark| mark.split_last_chunk::<4>()) {
+        let (number, sum) = match self
+            .mark
+            .as_ref()
+            .and_then(|mark| mark.split_last_chunk::<4>())
+        {
             Some((number, sum)) if stands(Guard::SyncedMark) => (number, sum),
             _ => return 0,
         };
-        let number = number.try_into().ok().filter(|_| sum_of(number) == u32::from_le_bytes(*sum));
+        let number = number
+            .try_into()
+            .ok()
+            .filter(|_| sum_of(number) == u32::from_le_bytes(*sum));
         number.map_or(0, u64::from_le_bytes)
     }
 
     fn found(&self) -> Found {
-        let mut found = Found { table: Table::new(), last: 0, damage: Damage::default() };
-        self.unreadable.iter().for_each(|place| found.damage.entries(place.clone()));
+        let mut found = Found {
+            table: Table::new(),
+            last: 0,
+            damage: Damage::default(),
+        };
+        self.unreadable
+            .iter()
+            .for_each(|place| found.damage.entries(place.clone()));
         let mark = self.marked();
         let begins = self.log.as_deref().and_then(begins_after);
         match (&self.snapshot, &self.log) {
             (None, None) => {
                 if mark > 0 {
-                    found
-                        .damage
-                        .entries(format!("state: the snapshot is missing, entry {mark} had been synced"));
+                    found.damage.entries(format!(
+                        "state: the snapshot is missing, entry {mark} had been synced"
+                    ));
                 } else if self.log_of > FIRST {
-                    found
-                        .damage
-                        .entries(format!("state: the snapshot is missing beside log-{}", self.log_of));
+                    found.damage.entries(format!(
+                        "state: the snapshot is missing beside log-{}",
+                        self.log_of
+                    ));
                 } else if self.of_001 {
-                    found.damage.entries("state: the snapshot is missing beside a log of format 001".into());
+                    found.damage.entries(
+                        "state: the snapshot is missing beside a log of format 001".into(),
+                    );
                 }
             }
             // The first start ended before its snapshot was there.
-            (None, Some(log)) if self.log_of == FIRST && mark <= FIRST && is_begun(log) => return found,
-            (None, Some(_)) => found.damage.entries("state: the snapshot is missing".into()),
+            (None, Some(log)) if self.log_of == FIRST && mark <= FIRST && is_begun(log) => {
+                return found
+            }
+            (None, Some(_)) => found
+                .damage
+                .entries("state: the snapshot is missing".into()),
             (Some(bytes), _) => found.snapshot(bytes),
         }
         let held = found.last;
         match (&self.log, begins) {
             (None, _) if self.snapshot.is_none() => {}
             (None, _) => found.damage.entries("log: the file is missing".into()),
-            (Some(_), None) => {
-                found.damage.entries("log at 0: its first entry is damaged or of another version".into())
-            }
+            (Some(_), None) => found
+                .damage
+                .entries("log at 0: its first entry is damaged or of another version".into()),
             (Some(log), Some(begins)) => {
                 let known = self.snapshot.is_some() && found.damage.is_none();
                 if begins != held && known && stands(Guard::EntriesWithoutGaps) {
@@ -377,7 +455,9 @@
         }
         if mark > found.last {
             let from = found.last + 1;
-            found.damage.entries(format!("log: entries {from} to {mark} had been synced and are not there"));
+            found.damage.entries(format!(
+                "log: entries {from} to {mark} had been synced and are not there"
+            ));
             found.last = mark;
         }
         found
@@ -419,11 +499,18 @@
         };
         match Frame::read(rest) {
             Some(frame) => {
-                self.take("state", "the snapshot is damaged", SNAPSHOT_MAGIC.len(), rest, frame);
-            }
-            None => {
-                self.damage.entries(format!("state at {}: the snapshot is damaged", SNAPSHOT_MAGIC.len()))
+                self.take(
+                    "state",
+                    "the snapshot is damaged",
+                    SNAPSHOT_MAGIC.len(),
+                    rest,
+                    frame,
+                );
             }
+            None => self.damage.entries(format!(
+                "state at {}: the snapshot is damaged",
+                SNAPSHOT_MAGIC.len()
+            )),
         }
     }
 
@@ -431,14 +518,21 @@
     fn log(&mut self, log: &[u8], mark: u64) {
         let mut at = 0;
         while let Some((place, frame)) = Frame::find(log, at, self.last) {
-            let (next, end) = (self.last + 1, place.saturating_add(frame.length).min(log.len()));
+            let (next, end) = (
+                self.last + 1,
+                place.saturating_add(frame.length).min(log.len()),
+            );
             if frame.number > next && stands(Guard::EntriesWithoutGaps) {
                 let to = frame.number - 1;
-                self.damage.entries(format!("log at {at}: entries {next} to {to} are damaged"));
+                self.damage
+                    .entries(format!("log at {at}: entries {next} to {to} are damaged"));
             }
             if !frame.parts.iter().all(|part| part.sound) && frame.number > mark {
                 let later = Frame::find(log, end, frame.number);
-                if later.filter(|_| stands(Guard::EntriesWithoutGaps)).is_none() {
+                if later
+                    .filter(|_| stands(Guard::EntriesWithoutGaps))
+                    .is_none()
+                {
                     break;
                 }
             }
@@ -447,10 +541,13 @@
         }
         let next = self.last + 1;
         if mark > self.last {
-            self.damage.entries(format!("log at {at}: entries {next} to {mark} are damaged"));
+            self.damage
+                .entries(format!("log at {at}: entries {next} to {mark} are damaged"));
             self.last = mark;
         } else if !is_blank(log.get(at + OKAYWAL_BYTES..).unwrap_or_default()) {
-            log::info!("cache: The log ends torn behind byte {at}: entry {next} was never acknowledged.");
+            log::info!(
+                "cache: The log ends torn behind byte {at}: entry {next} was never acknowledged."
+            );
         }
     }
 
@@ -462,7 +559,10 @@
                 self.table.insert(part.name, bytes[part.at].to_vec());
             } else {
                 let (at, number, name) = (at + part.at.start, frame.number, &part.name);
-                self.damage.record(format!("{file} at {at}: {said}: record {name} of entry {number}"), name);
+                self.damage.record(
+                    format!("{file} at {at}: {said}: record {name} of entry {number}"),
+                    name,
+                );
                 self.table.remove(&part.name);
             }
         }
--- a/crates/beechcroft-store/src/claim.rs
+++ b/crates/beechcroft-store/src/claim.rs
@@ -18,7 +18,10 @@
 
 pub fn encode(name: &str, mark: &Mark, nonce: u64) -> String {
     let Holder { relay, run } = mark.by;
-    let unit = mark.unit.as_ref().map_or("-".to_owned(), |unit| format!("={}", unit.0));
+    let unit = mark
+        .unit
+        .as_ref()
+        .map_or("-".to_owned(), |unit| format!("={}", unit.0));
     format!("{FORM} {} {run:x} {nonce:x} {unit}\n{name}", relay.0)
 }
 
@@ -31,8 +34,14 @@
     if form != FORM || of != name {
         return None;
     }
-    let by = Holder { relay: PeerId(relay.parse().ok()?), run: u64::from_str_radix(run, 16).ok()? };
-    Some(Mark { by, unit: unit.strip_prefix('=').map(|unit| UnitId(unit.into())) })
+    let by = Holder {
+        relay: PeerId(relay.parse().ok()?),
+        run: u64::from_str_radix(run, 16).ok()?,
+    };
+    Some(Mark {
+        by,
+        unit: unit.strip_prefix('=').map(|unit| UnitId(unit.into())),
+    })
 }
 
 /// What the replies to `SET NX PX`, `GET` and `PTTL` in one transaction tell of a claim whose text was `own`. An error is
@@ -49,14 +58,21 @@
     };
     let (text, left) = match (value, left) {
         (Value::Text(text), Value::Number(left)) => (text, *left),
-        (Value::Fault(_), _) | (_, Value::Fault(_)) | (Value::Nothing, _) => return Ok(Found::Unknown),
+        (Value::Fault(_), _) | (_, Value::Fault(_)) | (Value::Nothing, _) => {
+            return Ok(Found::Unknown)
+        }
         other => return Err(format!("no mark and time: {other:?}")),
     };
     if text == own.as_bytes() {
         return Ok(Found::Nothing);
     }
-    let mark = std::str::from_utf8(text).ok().and_then(|text| decode(name, text));
+    let mark = std::str::from_utf8(text)
+        .ok()
+        .and_then(|text| decode(name, text));
     let mark = mark.ok_or_else(|| format!("a mark that is none of {name}"))?;
     // One without an end is as old as can be.
-    Ok(Found::Mark { mark, left: Duration::from_millis(u64::try_from(left).unwrap_or(0)) })
+    Ok(Found::Mark {
+        mark,
+        left: Duration::from_millis(u64::try_from(left).unwrap_or(0)),
+    })
 }
--- a/crates/beechcroft-store/src/lib.rs
+++ b/crates/beechcroft-store/src/lib.rs
@@ -46,9 +46,19 @@
 #[derive(Debug)]
 pub enum Ask {
     /// To mark a task, unless it has a mark; what was found. After `by` nobody waits any more, and it is not asked.
-    Claim { name: String, mark: Mark, kept: Duration, by: Instant, found: oneshot::Sender<Found> },
+    Claim {
+        name: String,
+        mark: Mark,
+        kept: Duration,
+        by: Instant,
+        found: oneshot::Sender<Found>,
+    },
     /// To write where a task that this run has marked was sent. Nobody waits.
-    Sent { name: String, mark: Mark, kept: Duration },
+    Sent {
+        name: String,
+        mark: Mark,
+        kept: Duration,
+    },
     /// The store is elsewhere from now on.
     Moved(SocketAddr),
 }
@@ -62,7 +72,15 @@
     pub fn follow(place: Place) -> Store {
         let (sender, asks) = mpsc::channel(QUEUE);
         let rng = Pcg64Mcg::seed_from_u64(place.seed);
-        tokio::spawn(Follower { place, asks, rng, held: None }.run());
+        tokio::spawn(
+            Follower {
+                place,
+                asks,
+                rng,
+                held: None,
+            }
+            .run(),
+        );
         Store(sender)
     }
 
@@ -70,7 +88,17 @@
     pub async fn claim(&self, name: String, mark: Mark, kept: Duration, wait: Duration) -> Found {
         let (found, told) = oneshot::channel();
         let by = Instant::now() + wait;
-        if self.0.try_send(Ask::Claim { name, mark, kept, by, found }).is_err() {
+        if self
+            .0
+            .try_send(Ask::Claim {
+                name,
+                mark,
+                kept,
+                by,
+                found,
+            })
+            .is_err()
+        {
             return Found::Unasked;
         }
         match timeout(wait, told).await {
@@ -177,12 +205,18 @@
         let now = Instant::now();
         let mut moved = None;
         while batch.len() < BATCH {
-            let Some(ask) = self.held.take().or_else(|| self.asks.try_recv().ok()) else { break };
+            let Some(ask) = self.held.take().or_else(|| self.asks.try_recv().ok()) else {
+                break;
+            };
             match ask {
                 Ask::Claim { found, by, .. } if by <= now => drop(found.send(Found::Unasked)),
-                Ask::Claim { name, mark, kept, found, .. } => {
-                    batch.claim(name, &mark, kept, self.rng.random(), found)
-                }
+                Ask::Claim {
+                    name,
+                    mark,
+                    kept,
+                    found,
+                    ..
+                } => batch.claim(name, &mark, kept, self.rng.random(), found),
                 Ask::Sent { name, mark, kept } => batch.sent(&name, &mark, kept, self.rng.random()),
                 Ask::Moved(to) => {
                     moved = Some(to);
--- a/crates/beechcroft-transport/src/desk.rs
+++ b/crates/beechcroft-transport/src/desk.rs
@@ -72,11 +72,21 @@
 
 impl Answer {
     pub fn json(body: impl Into<Vec<u8>>) -> Answer {
-        Answer { status: 200, json: true, location: None, body: body.into() }
+        Answer {
+            status: 200,
+            json: true,
+            location: None,
+            body: body.into(),
+        }
     }
 
     pub fn bytes(body: impl Into<Vec<u8>>) -> Answer {
-        Answer { status: 200, json: false, location: None, body: body.into() }
+        Answer {
+            status: 200,
+            json: false,
+            location: None,
+            body: body.into(),
+        }
     }
 }
 
@@ -85,7 +95,13 @@
         let said: String = fault
             .to_string()
             .chars()
-            .map(|c| if matches!(c, '"' | '\\') || c < ' ' { '\'' } else { c })
+            .map(|c| {
+                if matches!(c, '"' | '\\') || c < ' ' {
+                    '\''
+                } else {
+                    c
+                }
+            })
             .collect();
         Answer {
             status: fault.kind.status(),
@@ -114,12 +130,22 @@
 impl Default for Bounds {
     fn default() -> Self {
         let (head_time, body_time) = (Duration::from_secs(20), Duration::from_secs(8));
-        Bounds { body_bytes: 16 << 20, head_time, body_time, connections: 1500 }
+        Bounds {
+            body_bytes: 16 << 20,
+            head_time,
+            body_time,
+            connections: 1500,
+        }
     }
 }
 
 /// Listens and answers until the listener fails.
-pub async fn serve<H, F>(ground: Ground, at: SocketAddrV4, bounds: Bounds, handler: H) -> std::io::Result<()>
+pub async fn serve<H, F>(
+    ground: Ground,
+    at: SocketAddrV4,
+    bounds: Bounds,
+    handler: H,
+) -> std::io::Result<()>
 where
     H: Fn(Call) -> F + 'static,
     F: Future<Output = Answer> + 'static,
@@ -148,25 +174,39 @@
 
 /// One call; whether another may follow on the connection.
 async fn one<H, F>(
-    wire: &Wire, from: std::net::SocketAddr, bounds: Bounds, handler: &H,
+    wire: &Wire,
+    from: std::net::SocketAddr,
+    bounds: Bounds,
+    handler: &H,
 ) -> http_types::Result<bool>
 where
     H: Fn(Call) -> F,
     F: Future<Output = Answer>,
 {
     wire.begin();
-    let Ok(decoded) = timeout(bounds.head_time, decode(wire.clone())).await else { return Ok(false) };
+    let Ok(decoded) = timeout(bounds.head_time, decode(wire.clone())).await else {
+        return Ok(false);
+    };
     let (mut request, mut rest) = match decoded {
         Ok(Some(decoded)) => decoded,
         Ok(None) => return Ok(false),
         Err(_) => {
-            reply(wire, http_types::Method::Get, None, Kind::Malformed.into(), true).await?;
+            reply(
+                wire,
+                http_types::Method::Get,
+                None,
+                Kind::Malformed.into(),
+                true,
+            )
+            .await?;
             return Ok(false);
         }
     };
     let method = request.method();
     let id = request.header(CALL_ID).map(|id| id.as_str().to_owned());
-    let mut keep = !request.header("connection").is_some_and(|v| v.as_str().eq_ignore_ascii_case("close"));
+    let mut keep = !request
+        .header("connection")
+        .is_some_and(|v| v.as_str().eq_ignore_ascii_case("close"));
     let answer = match timeout(bounds.body_time, body(&mut request, bounds)).await {
         Ok(Ok(body)) => {
             let url = request.url();
@@ -175,7 +215,16 @@
             keep &= !stands(Guard::DeskReadAhead) || wire.read_just(body.len());
             let read = Instant::now();
             let caller = Caller(wire.clone());
-            handler(Call { method: method.to_string(), path, query, body, from, read, caller }).await
+            handler(Call {
+                method: method.to_string(),
+                path,
+                query,
+                body,
+                from,
+                read,
+                caller,
+            })
+            .await
         }
         Ok(Err(fault)) => {
             keep = false;
@@ -198,9 +247,12 @@
     let length = match request.header("content-length") {
         None => None,
         Some(values) => {
-            let mut lengths = values.iter().map(|value| value.as_str().trim().parse::<u64>());
+            let mut lengths = values
+                .iter()
+                .map(|value| value.as_str().trim().parse::<u64>());
             let first = lengths.next().and_then(Result::ok);
-            let first = first.ok_or_else(|| Fault::new(Kind::Malformed, "Content-Length is not a number"))?;
+            let first = first
+                .ok_or_else(|| Fault::new(Kind::Malformed, "Content-Length is not a number"))?;
             if lengths.any(|other| other != Ok(first)) {
                 return Err(Fault::new(Kind::Malformed, "several lengths that differ"));
             }
@@ -208,31 +260,49 @@
         }
     };
     if length.is_some_and(|length| length > bounds.body_bytes) {
-        return Err(Fault::new(Kind::BodyTooLarge, format!("more than {} bytes", bounds.body_bytes)));
+        return Err(Fault::new(
+            Kind::BodyTooLarge,
+            format!("more than {} bytes", bounds.body_bytes),
+        ));
     }
     let mut body = Vec::with_capacity(length.unwrap_or(0).min(1 << 20) as usize);
     let mut reader = request.take_body().take(bounds.body_bytes + 1);
-    reader.read_to_end(&mut body).await.map_err(|e| Fault::new(Kind::Malformed, e.to_string()))?;
+    reader
+        .read_to_end(&mut body)
+        .await
+        .map_err(|e| Fault::new(Kind::Malformed, e.to_string()))?;
     if body.len() as u64 > bounds.body_bytes {
-        return Err(Fault::new(Kind::BodyTooLarge, format!("more than {} bytes", bounds.body_bytes)));
+        return Err(Fault::new(
+            Kind::BodyTooLarge,
+            format!("more than {} bytes", bounds.body_bytes),
+        ));
     }
     match length {
-        Some(length) if length != body.len() as u64 => {
-            Err(Fault::new(Kind::Malformed, format!("the body ends after {} of {length} bytes", body.len())))
-        }
+        Some(length) if length != body.len() as u64 => Err(Fault::new(
+            Kind::Malformed,
+            format!("the body ends after {} of {length} bytes", body.len()),
+        )),
         _ => Ok(body),
     }
 }
 
 async fn reply(
-    wire: &Wire, method: http_types::Method, id: Option<String>, answer: Answer, close: bool,
+    wire: &Wire,
+    method: http_types::Method,
+    id: Option<String>,
+    answer: Answer,
+    close: bool,
 ) -> http_types::Result<()> {
     let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
     response.set_body(Body::from_bytes(answer.body));
     response.insert_header(
         "content-type",
-        if answer.json { "application/json" } else { "application/octet-stream" },
+        if answer.json {
+            "application/json"
+        } else {
+            "application/octet-stream"
+        },
     );
     if let Some(id) = id {
         response.insert_header(CALL_ID, id);
@@ -244,7 +314,9 @@
         response.insert_header("connection", "close");
     }
     let mut bytes = Vec::new();
-    Encoder::new(response, method).read_to_end(&mut bytes).await?;
+    Encoder::new(response, method)
+        .read_to_end(&mut bytes)
+        .await?;
     futures_lite::io::AsyncWriteExt::write_all(&mut wire.clone(), &bytes).await?;
     Ok(())
 }
--- a/crates/beechcroft-transport/src/errand.rs
+++ b/crates/beechcroft-transport/src/errand.rs
@@ -33,7 +33,10 @@
 
 impl Errands {
     pub fn new(ground: Ground) -> Errands {
-        Errands { ground, ..Errands::default() }
+        Errands {
+            ground,
+            ..Errands::default()
+        }
     }
 
     pub fn ground(&self) -> &Ground {
@@ -42,11 +45,18 @@
 
     /// One call; the answer's body, if its status is 200.
     pub async fn run(
-        &self, to: SocketAddrV4, path: &str, body: Vec<u8>, within: Duration,
+        &self,
+        to: SocketAddrV4,
+        path: &str,
+        body: Vec<u8>,
+        within: Duration,
     ) -> Result<Vec<u8>, Fault> {
         let lost = |said: String| Fault::new(Kind::Lost, said);
         match timeout(within, self.call(to, path, body)).await {
-            Err(_) => Err(lost(format!("{to}{path}: no answer within {} ms", within.as_millis()))),
+            Err(_) => Err(lost(format!(
+                "{to}{path}: no answer within {} ms",
+                within.as_millis()
+            ))),
             Ok(Err(e)) => Err(lost(format!("{to}{path}: {e}"))),
             Ok(Ok((200, body))) => Ok(body),
             Ok(Ok((status, _))) => Err(lost(format!("{to}{path}: status {status}"))),
@@ -55,9 +65,14 @@
 
     /// Another relay's copy of a register.
     pub async fn copy<T: serde::de::DeserializeOwned>(
-        &self, from: SocketAddrV4, register: usize, within: Duration,
+        &self,
+        from: SocketAddrV4,
+        register: usize,
+        within: Duration,
     ) -> Result<T, Fault> {
-        let bytes = self.run(from, "/copy", vec![register as u8], within).await?;
+        let bytes = self
+            .run(from, "/copy", vec![register as u8], within)
+            .await?;
         postcard::from_bytes(&bytes).map_err(|e| Fault::new(Kind::Malformed, e.to_string()))
     }
 
@@ -69,7 +84,12 @@
 
     /// Whatever ends this early takes its connection with it: only one with a whole answer of its own, and nothing
     /// behind it, is kept.
-    async fn call(&self, to: SocketAddrV4, path: &str, body: Vec<u8>) -> http_types::Result<(u16, Vec<u8>)> {
+    async fn call(
+        &self,
+        to: SocketAddrV4,
+        path: &str,
+        body: Vec<u8>,
+    ) -> http_types::Result<(u16, Vec<u8>)> {
         let (wire, fresh) = match self.kept(to) {
             Some(wire) => (wire, false),
             None => (Wire::new(self.ground.connect(to).await?), true),
@@ -87,13 +107,20 @@
         if !owned && stands(Guard::CallIds) {
             return Err(http_types::format_err!("an answer to another call"));
         }
-        let closes = answer.header("connection").is_some_and(|v| v.as_str().eq_ignore_ascii_case("close"));
-        let length = answer.header("content-length").and_then(|v| v.as_str().parse::<usize>().ok());
+        let closes = answer
+            .header("connection")
+            .is_some_and(|v| v.as_str().eq_ignore_ascii_case("close"));
+        let length = answer
+            .header("content-length")
+            .and_then(|v| v.as_str().parse::<usize>().ok());
         let mut body = Vec::new();
         answer.take_body().read_to_end(&mut body).await?;
         // The guard: async-h1 takes a body that breaks off for a whole one.
         if length != Some(body.len()) {
-            return Err(http_types::format_err!("the answer ends after {} bytes", body.len()));
+            return Err(http_types::format_err!(
+                "the answer ends after {} bytes",
+                body.len()
+            ));
         }
         let just = !stands(Guard::ErrandReadAhead) || wire.read_just(body.len());
         if named == Some(true) && !closes && just && wire.clean() {
--- a/crates/beechcroft-transport/src/ground.rs
+++ b/crates/beechcroft-transport/src/ground.rs
@@ -48,7 +48,11 @@
 
 impl std::fmt::Debug for Ground {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(if self.0.is_some() { "a world" } else { "this machine" })
+        f.write_str(if self.0.is_some() {
+            "a world"
+        } else {
+            "this machine"
+        })
     }
 }
 
@@ -91,7 +95,11 @@
     pub(crate) async fn datagrams(&self, at: SocketAddrV4) -> io::Result<Datagrams> {
         if let Some(world) = &self.0 {
             let mail = world.mail(at)?;
-            return Ok(Datagrams::World(world.clone(), at, tokio::sync::Mutex::new(mail)));
+            return Ok(Datagrams::World(
+                world.clone(),
+                at,
+                tokio::sync::Mutex::new(mail),
+            ));
         }
         let mut tries = 0;
         loop {
@@ -107,9 +115,9 @@
     /// The time of day, since 1970.
     pub fn wall(&self) -> Duration {
         match &self.0 {
-            None => {
-                std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or(Duration::ZERO)
-            }
+            None => std::time::SystemTime::now()
+                .duration_since(std::time::UNIX_EPOCH)
+                .unwrap_or(Duration::ZERO),
             Some(world) => world.wall(),
         }
     }
@@ -123,9 +131,10 @@
 impl Listener {
     pub async fn accept(&mut self) -> io::Result<(Stream, SocketAddr)> {
         match self {
-            Listener::Socket(listener) => {
-                listener.accept().await.map(|(stream, from)| (Stream::Socket(stream), from))
-            }
+            Listener::Socket(listener) => listener
+                .accept()
+                .await
+                .map(|(stream, from)| (Stream::Socket(stream), from)),
             Listener::World(coming) => match coming.recv().await {
                 Some((pipe, from)) => Ok((Stream::Pipe(pipe), from.into())),
                 None => std::future::pending().await,
@@ -178,7 +187,11 @@
 
 impl std::fmt::Debug for Stream {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(if matches!(self, Stream::Socket(_)) { "a socket" } else { "a pipe" })
+        f.write_str(if matches!(self, Stream::Socket(_)) {
+            "a socket"
+        } else {
+            "a pipe"
+        })
     }
 }
 
@@ -302,7 +315,8 @@
 
 /// Tries until it does not block.
 fn poll<T>(
-    cx: &mut Context<'_>, mut is_ready: impl FnMut(&mut Context<'_>) -> Poll<()>,
+    cx: &mut Context<'_>,
+    mut is_ready: impl FnMut(&mut Context<'_>) -> Poll<()>,
     mut tries: impl FnMut() -> io::Result<T>,
 ) -> Poll<io::Result<T>> {
     loop {
--- a/crates/beechcroft-transport/src/guard.rs
+++ b/crates/beechcroft-transport/src/guard.rs
@@ -49,9 +49,14 @@
 impl Ask {
     /// The value of a header that is passed on.
     pub fn header(&self, name: &str) -> Option<&str> {
-        let lines = self.lines.split(|&byte| byte == b'\n').filter_map(|line| std::str::from_utf8(line).ok());
+        let lines = self
+            .lines
+            .split(|&byte| byte == b'\n')
+            .filter_map(|line| std::str::from_utf8(line).ok());
         let mut pairs = lines.filter_map(|line| line.split_once(':'));
-        pairs.find(|(of, _)| of.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim())
+        pairs
+            .find(|(of, _)| of.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.trim())
     }
 }
 
@@ -92,11 +97,20 @@
 
 /// What both kinds of head have in common.
 fn common(headers: &[httparse::Header]) -> Result<Common, Kind> {
-    let mut common = Common { framing: None, close: false, keep: false, named: Vec::new() };
+    let mut common = Common {
+        framing: None,
+        close: false,
+        keep: false,
+        named: Vec::new(),
+    };
     let mut chunked = false;
     let mut length = None;
     for header in headers {
-        let value = || std::str::from_utf8(header.value).map(str::trim).map_err(|_| Kind::Malformed);
+        let value = || {
+            std::str::from_utf8(header.value)
+                .map(str::trim)
+                .map_err(|_| Kind::Malformed)
+        };
         if header.name.eq_ignore_ascii_case("content-length") {
             for part in value()?.split(',') {
                 let part = part.trim();
@@ -127,7 +141,11 @@
     if chunked && length.is_some() {
         return Err(Kind::Malformed);
     }
-    common.framing = if chunked { Some(Framing::Chunked) } else { length.map(Framing::Length) };
+    common.framing = if chunked {
+        Some(Framing::Chunked)
+    } else {
+        length.map(Framing::Length)
+    };
     Ok(common)
 }
 
@@ -144,7 +162,9 @@
 }
 
 fn text(value: &[u8]) -> Option<String> {
-    std::str::from_utf8(value).ok().map(|text| text.trim().to_owned())
+    std::str::from_utf8(value)
+        .ok()
+        .map(|text| text.trim().to_owned())
 }
 
 /// Reads the head of a request.
@@ -181,8 +201,9 @@
             }
             ask.id = text(header.value);
         } else if is("beechcroft-time-budget") {
-            ask.budget_ms =
-                text(header.value).and_then(|text| text.parse::<f64>().ok()).map(|ms| ms.max(0.0) as u64);
+            ask.budget_ms = text(header.value)
+                .and_then(|text| text.parse::<f64>().ok())
+                .map(|ms| ms.max(0.0) as u64);
         } else if is("expect") {
             ask.expects = header.value.eq_ignore_ascii_case(b"100-continue");
         }
@@ -206,7 +227,9 @@
         Ok(httparse::Status::Partial) if bytes.len() < 64 << 10 => return Read::More,
         _ => return Read::Bad(Kind::Lost),
     };
-    let Ok(common) = common(response.headers) else { return Read::Bad(Kind::Lost) };
+    let Ok(common) = common(response.headers) else {
+        return Read::Bad(Kind::Lost);
+    };
     let status = response.code.unwrap_or(0);
     if status < 100 {
         return Read::Bad(Kind::Lost);
@@ -240,8 +263,9 @@
         } else if is("beechcroft-unit-load") {
             reply.load = text(header.value).and_then(|text| load(&text));
         } else if is("beechcroft-warmup-remaining") {
-            reply.warm_left_ms =
-                text(header.value).and_then(|text| text.parse::<f64>().ok()).map(|ms| ms as u64);
+            reply.warm_left_ms = text(header.value)
+                .and_then(|text| text.parse::<f64>().ok())
+                .map(|ms| ms as u64);
         } else if is("keep-alive") {
             let timeout = text(header.value).and_then(|text| {
                 text.split(',')
--- a/crates/beechcroft-transport/src/lifecycle.rs
+++ b/crates/beechcroft-transport/src/lifecycle.rs
@@ -28,7 +28,9 @@
     /// Sockets, signals and the settings file of this machine.
     pub fn machine(settings: &Settings) -> Outside {
         let (told, seeds) = unbounded_channel();
-        spawn_local(follow_settings(settings.clone(), move |new| drop(told.send(new))));
+        spawn_local(follow_settings(settings.clone(), move |new| {
+            drop(told.send(new))
+        }));
         let term = async {
             match signal(SignalKind::terminate()) {
                 Ok(mut term) => drop(term.recv().await),
@@ -38,7 +40,11 @@
                 }
             }
         };
-        Outside { ground: Ground::machine(), term: Box::pin(term), seeds }
+        Outside {
+            ground: Ground::machine(),
+            term: Box::pin(term),
+            seeds,
+        }
     }
 }
 
@@ -46,7 +52,9 @@
 pub fn check(path: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let done = if path.extension().is_some_and(|kind| kind == "json") {
-        Config::read(text.as_bytes()).map(drop).map_err(|fault| fault.to_string())
+        Config::read(text.as_bytes())
+            .map(drop)
+            .map_err(|fault| fault.to_string())
     } else {
         Settings::read(&text).map(drop)
     };
@@ -57,12 +65,16 @@
 
 /// SIGHUP, or a file that changed without one: the seeds may be others. The rest holds until the next start.
 async fn follow_settings(mut held: Settings, seeds: impl Fn(Vec<SocketAddrV4>)) {
-    let Ok(mut hangup) = signal(SignalKind::hangup()) else { return };
+    let Ok(mut hangup) = signal(SignalKind::hangup()) else {
+        return;
+    };
     let path = std::env::var(settings::VARIABLE).unwrap_or_default();
     let mut text = std::fs::read_to_string(&path).unwrap_or_default();
     loop {
         let _ = tokio::time::timeout(Duration::from_secs(1), hangup.recv()).await;
-        let Ok(newer) = std::fs::read_to_string(&path) else { continue };
+        let Ok(newer) = std::fs::read_to_string(&path) else {
+            continue;
+        };
         if newer == text {
             continue;
         }
@@ -81,8 +93,13 @@
 
 /// Letters as they come and ticks go into the owner's queue for as long as the program runs.
 pub fn feed<C: 'static>(
-    post: Post, every: Duration, queue: UnboundedSender<C>, letter: fn(SocketAddrV4, Box<Letter>) -> C,
-    tick: fn() -> C, mut seeds: UnboundedReceiver<Vec<SocketAddrV4>>, reseed: fn(Vec<SocketAddrV4>) -> C,
+    post: Post,
+    every: Duration,
+    queue: UnboundedSender<C>,
+    letter: fn(SocketAddrV4, Box<Letter>) -> C,
+    tick: fn() -> C,
+    mut seeds: UnboundedReceiver<Vec<SocketAddrV4>>,
+    reseed: fn(Vec<SocketAddrV4>) -> C,
 ) {
     let others = queue.clone();
     spawn_local(async move {
--- a/crates/beechcroft-transport/src/line.rs
+++ b/crates/beechcroft-transport/src/line.rs
@@ -19,7 +19,11 @@
 impl Line {
     pub fn new(stream: Stream) -> Line {
         stream.prompt();
-        Line { stream, buf: Vec::new(), from: 0 }
+        Line {
+            stream,
+            buf: Vec::new(),
+            from: 0,
+        }
     }
 
     pub fn unread(&self) -> &[u8] {
@@ -49,7 +53,8 @@
         }
         if self.buf.capacity() == self.buf.len() {
             // A head or a small answer first; more for what goes on.
-            self.buf.reserve(if self.buf.is_empty() { 4 << 10 } else { READ });
+            self.buf
+                .reserve(if self.buf.is_empty() { 4 << 10 } else { READ });
         }
         self.stream.read_buf(&mut self.buf).await
     }
@@ -159,9 +164,15 @@
                 At::ChunkSize => match httparse::parse_chunk_size(line.unread()) {
                     Ok(httparse::Status::Complete((bytes, size))) => {
                         line.consume(bytes);
-                        self.at = if size == 0 { At::Trailer } else { At::ChunkData(size) };
+                        self.at = if size == 0 {
+                            At::Trailer
+                        } else {
+                            At::ChunkData(size)
+                        };
+                    }
+                    Ok(httparse::Status::Partial) if line.unread().len() < CHUNK_LINE => {
+                        return Ok(())
                     }
-                    Ok(httparse::Status::Partial) if line.unread().len() < CHUNK_LINE => return Ok(()),
                     _ => return Err(Broken::Spoilt),
                 },
                 At::ChunkEnd => {
@@ -176,7 +187,8 @@
                 }
                 At::Trailer => {
                     // Trailers are read over; the empty line ends them.
-                    let Some(end) = line.unread().windows(2).position(|pair| pair == b"\r\n") else {
+                    let Some(end) = line.unread().windows(2).position(|pair| pair == b"\r\n")
+                    else {
                         if line.unread().len() > 8 << 10 {
                             return Err(Broken::Spoilt);
                         }
--- a/crates/beechcroft-transport/src/post.rs
+++ b/crates/beechcroft-transport/src/post.rs
@@ -13,7 +13,10 @@
 
 impl Post {
     pub async fn open(ground: &Ground, at: SocketAddrV4) -> std::io::Result<Post> {
-        ground.datagrams(at).await.map(|datagrams| Post(Rc::new(datagrams)))
+        ground
+            .datagrams(at)
+            .await
+            .map(|datagrams| Post(Rc::new(datagrams)))
     }
 
     /// A letter that cannot go now is lost like any other: digests mend it.
@@ -27,7 +30,9 @@
     pub async fn next(&self) -> (SocketAddrV4, Letter) {
         let mut buf = vec![0; LONGEST];
         loop {
-            let Some((from, length)) = self.0.next(&mut buf).await else { continue };
+            let Some((from, length)) = self.0.next(&mut buf).await else {
+                continue;
+            };
             match postcard::from_bytes(&buf[..length]) {
                 Ok(letter) => return (from, letter),
                 Err(e) => log::debug!("post: A datagram from {from} is no letter: {e}."),
--- a/crates/beechcroft-transport/src/wire.rs
+++ b/crates/beechcroft-transport/src/wire.rs
@@ -58,7 +58,9 @@
     /// Whether a head and a body of so many bytes were read, and nothing behind them.
     pub fn read_just(&self, body: usize) -> bool {
         let tally = self.tally();
-        tally.head.is_some_and(|head| tally.read == head + body as u64)
+        tally
+            .head
+            .is_some_and(|head| tally.read == head + body as u64)
     }
 
     fn tally(&self) -> std::sync::MutexGuard<'_, Tally> {
@@ -73,7 +75,11 @@
 }
 
 impl AsyncRead for Wire {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
             match self.0.try_read(buf) {
@@ -90,7 +96,11 @@
 }
 
 impl AsyncWrite for Wire {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             match self.0.try_write(buf) {
--- a/src/cusum.rs
+++ b/src/cusum.rs
@@ -14,7 +14,10 @@
 
 impl Cusum {
     pub fn tick(&mut self) {
-        *self = Cusum { w: self.w.max(0.0) + self.z, z: 0.0 };
+        *self = Cusum {
+            w: self.w.max(0.0) + self.z,
+            z: 0.0,
+        };
     }
 }
 
@@ -35,7 +38,12 @@
 }
 
 fn nats(from: f64, to: f64, failed: bool) -> f64 {
-    if failed { to / from } else { (1.0 - to) / (1.0 - from) }.ln()
+    if failed {
+        to / from
+    } else {
+        (1.0 - to) / (1.0 - from)
+    }
+    .ln()
 }
 
 /// I: the expected log ratio a tick under the bad rate, with so many outcomes a tick.
@@ -50,5 +58,8 @@
 }
 
 pub fn fuse(bits: impl Iterator<Item = (bool, f64)>, largest: f64) -> f64 {
-    bits.filter(|(bit, _)| *bit).map(|(_, divergence)| divergence).sum::<f64>() / largest
+    bits.filter(|(bit, _)| *bit)
+        .map(|(_, divergence)| divergence)
+        .sum::<f64>()
+        / largest
 }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -58,8 +58,11 @@
 
 type Inward = fn(&mut Relay, &mut Task, Act) -> Flow;
 type Outward = fn(&mut Relay, &Ended);
-const CHAIN: [(Inward, Outward); 3] =
-    [(Relay::admit, Relay::learn_times), (Relay::choose, Relay::judge), (Relay::send, Relay::watch_health)];
+const CHAIN: [(Inward, Outward); 3] = [
+    (Relay::admit, Relay::learn_times),
+    (Relay::choose, Relay::judge),
+    (Relay::send, Relay::watch_health),
+];
 
 pub struct Relay {
     now: Duration,
@@ -109,8 +112,14 @@
     }
 
     pub fn task_taken(
-        &mut self, id: TaskId, track: TrackId, tenant: Option<TenantId>, key: Option<Key>, left: Duration,
-        work: Option<Duration>, act: Act,
+        &mut self,
+        id: TaskId,
+        track: TrackId,
+        tenant: Option<TenantId>,
+        key: Option<Key>,
+        left: Duration,
+        work: Option<Duration>,
+        act: Act,
     ) {
         let work = work.map_or(0.0, |work| work.as_secs_f64());
         let relative = self.meter.relative_work(work, WORK_PART);
@@ -139,12 +148,22 @@
     /// The one place of final answers: a nack where trying again is harmless, else a termination.
     fn close(&mut self, task: Task, act: Act) {
         let harmless = match self.tracks[task.track.0].effect {
-            Effect::Idempotent | Effect::Deduplicated { group: Group::All, .. } => true,
+            Effect::Idempotent
+            | Effect::Deduplicated {
+                group: Group::All, ..
+            } => true,
             Effect::Deduplicated { .. } | Effect::Unrepeatable => task.ran.is_none(),
         };
         let busy = self.meter.time_ratio > BUSY_RATIO || self.now + self.fig.slack >= task.quoted;
         match harmless {
-            true => act.nack(&task.id, if busy { self.fig.hold_off } else { Duration::ZERO }),
+            true => act.nack(
+                &task.id,
+                if busy {
+                    self.fig.hold_off
+                } else {
+                    Duration::ZERO
+                },
+            ),
             false => act.terminate(&task.id),
         }
     }
@@ -152,34 +171,72 @@
     pub fn load_told(&mut self, id: &TaskId, dispatch: DispatchNo, held: f64) {
         let out = self.tasks.get(id).and_then(|task| task.out);
         for (_, at, _) in out.into_iter().filter(|(number, ..)| *number == dispatch) {
-            self.fleet.units[at].held.tells(held, self.now, self.meter.usual.value());
+            self.fleet.units[at]
+                .held
+                .tells(held, self.now, self.meter.usual.value());
             self.meter.usual.tells(held);
         }
     }
 
     pub fn dispatch_ended(
-        &mut self, id: &TaskId, dispatch: DispatchNo, outcome: Outcome, spent: Duration, settled: bool,
+        &mut self,
+        id: &TaskId,
+        dispatch: DispatchNo,
+        outcome: Outcome,
+        spent: Duration,
+        settled: bool,
         act: Act,
     ) {
-        let Some(mut task) = self.tasks.remove(id) else { return };
+        let Some(mut task) = self.tasks.remove(id) else {
+            return;
+        };
         let Some((_, unit, sent)) = task.out.take_if(|(number, ..)| *number == dispatch) else {
             return drop(self.tasks.insert(id.clone(), task));
         };
         let at = &mut self.fleet.units[unit];
         at.waiting.retain(|waiting| waiting != id);
-        let (build, cold, ran) = (at.build, at.is_cold(sent, self.fig.warm_up), !outcome.never_ran());
-        let seen = if sent < at.since { Outcome::Moot } else { outcome }; // of what ran there before
+        let (build, cold, ran) = (
+            at.build,
+            at.is_cold(sent, self.fig.warm_up),
+            !outcome.never_ran(),
+        );
+        let seen = if sent < at.since {
+            Outcome::Moot
+        } else {
+            outcome
+        }; // of what ran there before
         let (track, repeat, apart) = (task.track, task.failed_on.is_some(), self.is_apart(&task));
         self.meter.in_flight -= 1.0;
         if ran && !repeat {
-            self.meter.missed(track, task.tenant, outcome != Outcome::Ok || self.now > task.quoted, LATELY);
-            self.meter.paced(outcome, spent, self.tracks[track.0].quoted, [KEEP, LATELY]);
+            self.meter.missed(
+                track,
+                task.tenant,
+                outcome != Outcome::Ok || self.now > task.quoted,
+                LATELY,
+            );
+            self.meter
+                .paced(outcome, spent, self.tracks[track.0].quoted, [KEEP, LATELY]);
         }
-        self.learn(&Ended { unit, track, outcome: seen, spent, cold, repeat, flagged: false, apart }, true);
+        self.learn(
+            &Ended {
+                unit,
+                track,
+                outcome: seen,
+                spent,
+                cold,
+                repeat,
+                flagged: false,
+                apart,
+            },
+            true,
+        );
         if outcome == Outcome::Ok {
             self.meter.handled += task.work;
-            let forward = self.fig.forward_only && self.news.is_some_and(|news| news.build == build);
-            self.exposure.forward_keys.extend(task.key.filter(|_| forward));
+            let forward =
+                self.fig.forward_only && self.news.is_some_and(|news| news.build == build);
+            self.exposure
+                .forward_keys
+                .extend(task.key.filter(|_| forward));
         }
         if task.erred && ran {
             self.meter.again.add(outcome == Outcome::Error, LATELY);
@@ -193,14 +250,18 @@
 
     /// Whether its track or tenant is late everywhere, others not: it proves nothing, and yields first.
     fn is_apart(&self, task: &Task) -> bool {
-        self.meter.missing(task.track, task.tenant).any(|(own, best)| own > APART && best < own / 2.0)
+        self.meter
+            .missing(task.track, task.tenant)
+            .any(|(own, best)| own > APART && best < own / 2.0)
     }
 
     fn watch_health(&mut self, ended: &Ended) {
         let unit = &mut self.fleet.units[ended.unit];
         // A task that failed elsewhere before may fail anywhere: no evidence about this unit.
         let telling = |failed: &bool| !failed || !ended.repeat && !ended.apart;
-        let Some(failed) = ended.failed().filter(telling) else { return };
+        let Some(failed) = ended.failed().filter(telling) else {
+            return;
+        };
         unit.recent.add(failed, LATELY / 2.0);
         if matches!(ended.outcome, Outcome::Ok | Outcome::Error) {
             unit.quiet_since = self.now;
@@ -235,7 +296,11 @@
         if matches!(ended.outcome, Outcome::Ok | Outcome::TimeOut) && !silent && !ended.apart {
             let part = 1.0 / (self.meter.keep / KEEP_FOR.as_secs_f64() / 2.0).max(20.0);
             let quoted = self.tracks[ended.track.0].quoted; // however early its client gave up
-            let spent = if ended.outcome == Outcome::Ok { ended.spent } else { quoted };
+            let spent = if ended.outcome == Outcome::Ok {
+                ended.spent
+            } else {
+                quoted
+            };
             self.meter.answered(spent, quoted, part);
         }
         let Unit { build, kind, .. } = self.fleet.units[ended.unit];
@@ -246,12 +311,20 @@
     }
 
     pub fn stream_began(&mut self, id: &TaskId) {
-        self.tasks.get_mut(id).into_iter().for_each(|task| task.stream = true);
+        self.tasks
+            .get_mut(id)
+            .into_iter()
+            .for_each(|task| task.stream = true);
     }
 
     pub fn client_left(&mut self, id: &TaskId, act: Act) {
-        let task = self.tasks.get(id).filter(|task| self.fig.may_abandon && !task.stream);
-        task.and_then(|task| task.out).into_iter().for_each(|(dispatch, ..)| act.abandon(id, dispatch));
+        let task = self
+            .tasks
+            .get(id)
+            .filter(|task| self.fig.may_abandon && !task.stream);
+        task.and_then(|task| task.out)
+            .into_iter()
+            .for_each(|(dispatch, ..)| act.abandon(id, dispatch));
     }
 
     pub fn woken(&mut self, _token: Token, act: Act) {
@@ -260,7 +333,11 @@
         self.measure();
         self.run_cusum();
         let fused = self.fuse();
-        self.judge.clear_since = if fused > 0.0 { self.now } else { self.judge.clear_since };
+        self.judge.clear_since = if fused > 0.0 {
+            self.now
+        } else {
+            self.judge.clear_since
+        };
         self.cast(fused, act);
         if (self.ticks + u64::from(self.fig.me.0)).is_multiple_of(TELL_EVERY) {
             self.tell(act);
@@ -275,7 +352,9 @@
         let count = self.fleet.ready().count().max(1) as f64;
         let meter = &mut self.meter;
         meter.tick(TICK, 0.1, size.max(0.01), BORE_FOR);
-        meter.rate.add(std::mem::take(&mut meter.arrived), TICK, BORE_FOR);
+        meter
+            .rate
+            .add(std::mem::take(&mut meter.arrived), TICK, BORE_FOR);
         // Little's law: open tasks that end in that part of their quoted times, or its part of two a unit.
         let part = (count * 2.0 / f64::from(self.fig.relays)).max(1.0);
         meter.limit = (meter.limit * 1.03 + 0.1 * part).min(count * 16.0);
@@ -283,7 +362,12 @@
             meter.limit = (meter.served_rate * BUSY_RATIO * meter.mean_quoted).max(part);
             meter.busy_at = Some(self.now);
         }
-        if self.exposure.lower_cap_at.take_if(|at| self.now >= *at).is_some() {
+        if self
+            .exposure
+            .lower_cap_at
+            .take_if(|at| self.now >= *at)
+            .is_some()
+        {
             self.exposure.sent.values_mut().for_each(Window::clear);
         }
     }
--- a/src/decide/vote.rs
+++ b/src/decide/vote.rs
@@ -15,14 +15,23 @@
             Phase::OnTrial => {}
             _ => return (Vote::Nothing, true),
         }
-        let fusers = || self.live_peers().filter(|peer| peer.stage == news.stage && peer.outcomes > 0);
+        let fusers = || {
+            self.live_peers()
+                .filter(|peer| peer.stage == news.stage && peer.outcomes > 0)
+        };
         let most = fusers().filter(|peer| peer.on).count() * 2 > fusers().count();
-        let on = if self.fig.fuses { self.judge.on } else { fused <= 0.0 && most };
+        let on = if self.fig.fuses {
+            self.judge.on
+        } else {
+            fused <= 0.0 && most
+        };
         let vote = match self.fig.gate {
             GateMode::Automatic if self.judge.bit => Vote::Hold,
             GateMode::FirstVoice if on && self.fig.me.0 < PROCEED_VOICES => Vote::On,
             // Departure: a round of votes takes long: those without whom it is not one vote ahead of it.
-            GateMode::ByCount if on || self.fig.turns.is_early() && self.is_unharmed(fused) => Vote::On,
+            GateMode::ByCount if on || self.fig.turns.is_early() && self.is_unharmed(fused) => {
+                Vote::On
+            }
             _ => Vote::Nothing,
         };
         (vote, on || vote == Vote::Hold)
@@ -34,19 +43,37 @@
 
     pub(super) fn may_go_on(&self, news: News, fused: f64) -> bool {
         let trial = self.fleet.ready_of(news.build);
-        let youngest = trial.map(|unit| self.now.saturating_sub(unit.started.unwrap_or_default())).min();
-        let Some(youngest) = youngest else { return false };
+        let youngest = trial
+            .map(|unit| self.now.saturating_sub(unit.started.unwrap_or_default()))
+            .min();
+        let Some(youngest) = youngest else {
+            return false;
+        };
         // Departure: a stage most of whose units the list does not show yet has shown nothing.
-        let earlier = self.fleet.ready().filter(|unit| unit.build < news.build).count();
-        let (seen, share) =
-            (self.fleet.ready_of(news.build).count(), self.fig.stage_shares.get(news.stage.0));
-        let places = if self.fig.replace { earlier + seen } else { earlier.max(seen) } as f64;
+        let earlier = self
+            .fleet
+            .ready()
+            .filter(|unit| unit.build < news.build)
+            .count();
+        let (seen, share) = (
+            self.fleet.ready_of(news.build).count(),
+            self.fig.stage_shares.get(news.stage.0),
+        );
+        let places = if self.fig.replace {
+            earlier + seen
+        } else {
+            earlier.max(seen)
+        } as f64;
         if (seen as f64) < share.unwrap_or(&0.0) * places * LISTED {
             return false;
         }
         // Departure: the last stage, with the earlier units still standing by, is the cheap place to wait.
         let last = news.stage.0 == self.fig.stage_caps.len().saturating_sub(1) && !self.fig.replace;
-        let wait = if last { self.fig.warm_up + TICK * 10 } else { Duration::ZERO };
+        let wait = if last {
+            self.fig.warm_up + TICK * 10
+        } else {
+            Duration::ZERO
+        };
         // Departure: nothing goes on while tasks are shed, both are late, or what fails proves nothing.
         let calm = !self.is_busy() && self.judge.ambient < NATS_FLOOR || news.cap < SMALL_CAP;
         let calm = calm && self.judge.surge.iter().all(|&surge| surge < NATS_FLOOR);
@@ -61,8 +88,14 @@
         let Some(news) = self.news else { return };
         let (vote, settled) = self.stance(news, fused);
         // Where one voice is enough, hundreds need not speak; the platform takes so many votes of all.
-        let voices = if self.fig.gate == GateMode::FirstVoice { FUSERS } else { self.fig.relays };
-        let wished = self.voice.wishes(Some(vote).filter(|&vote| vote != Vote::Nothing), self.now);
+        let voices = if self.fig.gate == GateMode::FirstVoice {
+            FUSERS
+        } else {
+            self.fig.relays
+        };
+        let wished = self
+            .voice
+            .wishes(Some(vote).filter(|&vote| vote != Vote::Nothing), self.now);
         let (turns, life) = (&self.fig.turns, self.fig.vote_life);
         let settled = self.voice.settles(settled, self.now, life);
         let turn = match vote {
@@ -71,10 +104,16 @@
             _ => turns.forward(self.judge.stage_at, news.stage.0 > 0, settled, life),
         };
         let ahead = vote == Vote::On && settled.is_none();
-        let renew = if ahead { Duration::MAX } else { turns.renew(life, RENEW) };
+        let renew = if ahead {
+            Duration::MAX
+        } else {
+            turns.renew(life, RENEW)
+        };
         let wait = self.fig.answer_wait + TICK;
         if self.fig.me.0 >= voices
-            || !self.voice.is_due(turn, self.now, wait, turns.gap(voices, TICK * 2), renew)
+            || !self
+                .voice
+                .is_due(turn, self.now, wait, turns.gap(voices, TICK * 2), renew)
         {
             return;
         }
@@ -94,7 +133,9 @@
         match outcome {
             Outcome::Ok => self.voice.taken(),
             Outcome::Moot => self.voice.refused(self.now, |_| self.fig.vote_life), // the news is on its way
-            _ => self.voice.refused(self.now, |times| self.fig.turns.again(times, draw)),
+            _ => self
+                .voice
+                .refused(self.now, |times| self.fig.turns.again(times, draw)),
         }
     }
 }
--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -51,7 +51,10 @@
         for (held, more) in self.counts.iter_mut().zip(counts) {
             *held = held.saturating_add(*more);
         }
-        self.total = self.counts.iter().fold(0, |sum, count| sum.saturating_add(*count));
+        self.total = self
+            .counts
+            .iter()
+            .fold(0, |sum, count| sum.saturating_add(*count));
     }
 
     /// How many times are held.
@@ -120,7 +123,9 @@
     /// The sum of what came less than `span` ago.
     pub fn sum(&self, now: Duration, span: Duration) -> f64 {
         let old = self.sums.partition_point(|&(at, _)| at + span <= now);
-        let before = old.checked_sub(1).map_or(self.before, |last| self.sums[last].1);
+        let before = old
+            .checked_sub(1)
+            .map_or(self.before, |last| self.sums[last].1);
         self.total() - before
     }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -80,8 +80,12 @@
 impl Past {
     /// The mean good rate of several, by their trials.
     pub fn mean<'a>(pasts: impl Iterator<Item = &'a Past>) -> f64 {
-        let weigh =
-            |(good, all), past: &Past| (good + past.good() * past.beside.trials, all + past.beside.trials);
+        let weigh = |(good, all), past: &Past| {
+            (
+                good + past.good() * past.beside.trials,
+                all + past.beside.trials,
+            )
+        };
         let (good, all) = pasts.fold((0.0, 0.0), weigh);
         good / f64::max(all, 1.0)
     }
@@ -186,12 +190,12 @@
     pub tick_outcomes: f64,
     pub outcome_rate: f64,
     pub on_trial: bool,       // seen so by this relay
-    pub ambient: f64,         // CUSUM of late answers by the earlier build against the time before the trial
-    pub surge: [f64; 2],      // CUSUMs of the earlier build's errors and losses against their own good rates
+    pub ambient: f64, // CUSUM of late answers by the earlier build against the time before the trial
+    pub surge: [f64; 2], // CUSUMs of the earlier build's errors and losses against their own good rates
     pub excused_at: Duration, // when lateness last proved nothing
-    pub held: Duration,       // for how long, on balance, the earlier build has been late
-    pub load_before: f64,     // tasks taken a second before the trial
-    pub busy_before: bool,    // tasks were shed before the trial
+    pub held: Duration,  // for how long, on balance, the earlier build has been late
+    pub load_before: f64, // tasks taken a second before the trial
+    pub busy_before: bool, // tasks were shed before the trial
     pub bit: bool,
     pub on: bool, // the build may go on, by what this relay knows
     pub divergence: f64,
@@ -217,9 +221,9 @@
     pub mean_quoted: f64, // seconds
     pub bore: (f64, f64), // work that a warm unit was seen to bear from here, and in how many seconds
     pub tenants: Vec<(f64, f64)>,
-    pub again: Tally,            // repeats after an error, and those that failed once more
-    pub slower: Tally,           // first dispatches that took more than half of the quoted time
-    pub lost: Tally,             // and of those, waited for all of it, the ones that timed out
+    pub again: Tally,  // repeats after an error, and those that failed once more
+    pub slower: Tally, // first dispatches that took more than half of the quoted time
+    pub lost: Tally,   // and of those, waited for all of it, the ones that timed out
     pub misses: [Vec<Tally>; 2], // of quoted times, by track and by tenant
 }
 
@@ -230,14 +234,22 @@
             me: settings.me,
             relays: settings.relays,
             zone: settings.zone,
-            quotas: settings.tenant_quotas.iter().map(|quota| quota / relays).collect(),
+            quotas: settings
+                .tenant_quotas
+                .iter()
+                .map(|quota| quota / relays)
+                .collect(),
             over_worth: settings.over_share_worth,
             slack: settings.granularity * 2,
             fuses: settings.me.0 < fusers,
             zones_cost: settings.cross_zone_charge > 0.0,
             may_abandon: settings.may_abandon,
             tells: settings.may_tell_peers && settings.relays > 1,
-            hold_off: if settings.may_name_hold_off { settings.max_hold_off } else { Duration::ZERO },
+            hold_off: if settings.may_name_hold_off {
+                settings.max_hold_off
+            } else {
+                Duration::ZERO
+            },
             max_dispatches: settings.max_dispatches,
             cold_from: settings.cold_from,
             warm_up: settings.warm_up,
@@ -254,7 +266,12 @@
             by_track: settings.exposure_by_track,
             forward_only: settings.forward_only,
             vote_life: settings.vote_life,
-            turns: Turns::new(settings.me.0, settings.relays, settings.votes_per_s, settings.on_votes),
+            turns: Turns::new(
+                settings.me.0,
+                settings.relays,
+                settings.votes_per_s,
+                settings.on_votes,
+            ),
             answer_wait: settings.answer_wait,
             complaint_share: settings.complaint_share,
             delay_price: settings.delay_price,
@@ -279,8 +296,14 @@
 
 impl TrackState {
     pub fn all(tracks: &[Track]) -> Vec<TrackState> {
-        let top = tracks.iter().map(|track| track.utility).fold(1e-9, f64::max);
-        tracks.iter().map(|track| TrackState::new(track, top)).collect()
+        let top = tracks
+            .iter()
+            .map(|track| track.utility)
+            .fold(1e-9, f64::max);
+        tracks
+            .iter()
+            .map(|track| TrackState::new(track, top))
+            .collect()
     }
 
     /// `top` is the highest utility of any track.
@@ -301,14 +324,24 @@
 
     /// Keeps what the earlier build did under the full load, before the trial takes some of it.
     pub fn trial_begins(&mut self, slow_share: f64) {
-        self.marks = self.times.iter().map(|(&kind, times)| (kind, times.bin_at(slow_share))).collect();
-        self.failures.values_mut().flatten().for_each(|past| past.before = past.beside.rate());
+        self.marks = self
+            .times
+            .iter()
+            .map(|(&kind, times)| (kind, times.bin_at(slow_share)))
+            .collect();
+        self.failures
+            .values_mut()
+            .flatten()
+            .for_each(|past| past.before = past.beside.rate());
         self.slow = Tally::default();
     }
 
     /// The mark of slow answers on a kind of machine, set late where it becomes known only now.
     pub fn slow_mark(&mut self, kind: KindId, slow_share: f64, least: f64) -> Option<usize> {
-        let times = self.times.get(&kind).filter(|times| f64::from(times.total()) > least);
+        let times = self
+            .times
+            .get(&kind)
+            .filter(|times| f64::from(times.total()) > least);
         let late = times.map(|times| times.bin_at(slow_share));
         self.marks.get(&kind).copied().or_else(|| {
             self.marks.extend(late.map(|mark| (kind, mark)));
@@ -318,7 +351,10 @@
 
     /// The time above which no more than `share` of the answers of the slowest kind lie.
     pub fn slowest(&self, share: f64) -> Duration {
-        let edges = self.times.values().map(|times| Histogram::edge(times.bin_at(share)));
+        let edges = self
+            .times
+            .values()
+            .map(|times| Histogram::edge(times.bin_at(share)));
         edges.max().unwrap_or_default()
     }
 
@@ -355,11 +391,24 @@
         };
         let divergence = f64::from(f32::from_be_bytes([i0, i1, i2, i3]));
         let (build, stage) = (BuildId(u16::from_be_bytes([b0, b1])), Stage(stage.into()));
-        let (outcomes, taken) = (u16::from_be_bytes([n0, n1]).into(), u16::from_be_bytes([t0, t1]).into());
+        let (outcomes, taken) = (
+            u16::from_be_bytes([n0, n1]).into(),
+            u16::from_be_bytes([t0, t1]).into(),
+        );
         let (bit, on, time_ratio) = (bits & 1 > 0, bits & 2 > 0, f64::from(time) / 100.0);
         let sound = divergence.is_finite() && divergence >= 0.0;
         sound.then_some((
-            PeerEntry { at, build, stage, bit, on, divergence, outcomes, taken, time_ratio },
+            PeerEntry {
+                at,
+                build,
+                stage,
+                bit,
+                on,
+                divergence,
+                outcomes,
+                taken,
+                time_ratio,
+            },
             rest,
         ))
     }
@@ -380,11 +429,25 @@
     pub fn encode(&self) -> Vec<u8> {
         let build = self.build.0.to_be_bytes();
         let divergence = (self.divergence as f32).to_be_bytes();
-        let outcomes = u16::try_from(self.outcomes).unwrap_or(u16::MAX).to_be_bytes();
+        let outcomes = u16::try_from(self.outcomes)
+            .unwrap_or(u16::MAX)
+            .to_be_bytes();
         let stage = u8::try_from(self.stage.0).unwrap_or(u8::MAX);
         let bits = u8::from(self.bit) + 2 * u8::from(self.on);
-        let (taken, time) = ((self.taken as u16).to_be_bytes(), (self.time_ratio * 100.0) as u8);
-        [&[VERSION], &build[..], &[stage, bits], &divergence, &outcomes, &taken, &[time]].concat()
+        let (taken, time) = (
+            (self.taken as u16).to_be_bytes(),
+            (self.time_ratio * 100.0) as u8,
+        );
+        [
+            &[VERSION],
+            &build[..],
+            &[stage, bits],
+            &divergence,
+            &outcomes,
+            &taken,
+            &[time],
+        ]
+        .concat()
     }
 }
 
@@ -401,7 +464,13 @@
 ];
 
 impl Task {
-    pub fn new(id: TaskId, track: TrackId, key: Option<Key>, end: Duration, quoted: Duration) -> Task {
+    pub fn new(
+        id: TaskId,
+        track: TrackId,
+        key: Option<Key>,
+        end: Duration,
+        quoted: Duration,
+    ) -> Task {
         Task {
             id,
             track,
@@ -428,8 +497,11 @@
         if hint <= 0.0 {
             return 1.0;
         }
-        self.mean_work =
-            if self.mean_work > 0.0 { self.mean_work + (hint - self.mean_work) * part } else { hint };
+        self.mean_work = if self.mean_work > 0.0 {
+            self.mean_work + (hint - self.mean_work) * part
+        } else {
+            hint
+        };
         hint / self.mean_work
     }
 
@@ -461,20 +533,39 @@
 
     pub fn new(settings: &Settings) -> Meter {
         let tenants = vec![(0.0, 0.0); settings.tenant_quotas.len()];
-        let misses = [settings.tracks.len(), tenants.len()].map(|kinds| vec![Tally::default(); kinds]);
-        Meter { limit: f64::INFINITY, tenants, misses, ..Meter::default() }
+        let misses =
+            [settings.tracks.len(), tenants.len()].map(|kinds| vec![Tally::default(); kinds]);
+        Meter {
+            limit: f64::INFINITY,
+            tenants,
+            misses,
+            ..Meter::default()
+        }
     }
 
     /// The misses of a task's track and of its tenant, each with the fewest that another has.
-    pub fn missing(&self, track: TrackId, tenant: Option<TenantId>) -> impl Iterator<Item = (f64, f64)> + '_ {
+    pub fn missing(
+        &self,
+        track: TrackId,
+        tenant: Option<TenantId>,
+    ) -> impl Iterator<Item = (f64, f64)> + '_ {
         let own = [Some(track.0), tenant.map(|tenant| tenant.0)];
         self.misses.iter().zip(own).filter_map(|(all, own)| {
-            Some((all.get(own?)?.rate(), all.iter().map(Tally::rate).fold(1.0, f64::min)))
+            Some((
+                all.get(own?)?.rate(),
+                all.iter().map(Tally::rate).fold(1.0, f64::min),
+            ))
         })
     }
 
     /// Counts a task of a tenant; whether it is past the tenant's quota, by a draw and some margin.
-    pub fn over_share(&mut self, tenant: Option<TenantId>, quotas: &[f64], margin: f64, draw: f64) -> bool {
+    pub fn over_share(
+        &mut self,
+        tenant: Option<TenantId>,
+        quotas: &[f64],
+        margin: f64,
+        draw: f64,
+    ) -> bool {
         tenant.is_some_and(|TenantId(tenant)| {
             let (rate, count) = &mut self.tenants[tenant];
             *count += 1.0;
@@ -496,7 +587,10 @@
 
     /// Counts work that a unit bore in a tick; halved once it covers `hold`.
     fn bears(&mut self, work: f64, tick: Duration, hold: Duration) {
-        self.bore = (self.bore.0 + work * tick.as_secs_f64(), self.bore.1 + tick.as_secs_f64());
+        self.bore = (
+            self.bore.0 + work * tick.as_secs_f64(),
+            self.bore.1 + tick.as_secs_f64(),
+        );
         if self.bore.1 > hold.as_secs_f64() {
             self.bore = (self.bore.0 / 2.0, self.bore.1 / 2.0);
         }
@@ -525,14 +619,28 @@
 
 impl Fleet {
     pub fn begins(&mut self, whole: bool) {
-        self.units.iter_mut().filter(|_| whole).for_each(|unit| unit.listed = false);
+        self.units
+            .iter_mut()
+            .filter(|_| whole)
+            .for_each(|unit| unit.listed = false);
     }
 
     pub fn entry(
-        &mut self, id: UnitId, build: BuildId, zone: Option<ZoneId>, kind: KindId, cell: CellId,
-        health: Health, nominal: f64, started: Option<Duration>,
+        &mut self,
+        id: UnitId,
+        build: BuildId,
+        zone: Option<ZoneId>,
+        kind: KindId,
+        cell: CellId,
+        health: Health,
+        nominal: f64,
+        started: Option<Duration>,
     ) {
-        let at = self.index.get(&id).copied().unwrap_or_else(|| self.place(id));
+        let at = self
+            .index
+            .get(&id)
+            .copied()
+            .unwrap_or_else(|| self.place(id));
         let unit = &mut self.units[at];
         if started != unit.started || build != unit.build {
             // A new process, perhaps another machine under an old id: what was learned is void.
@@ -550,7 +658,8 @@
         }
         (unit.build, unit.zone, unit.cell, unit.nominal) = (build, zone, cell, nominal.max(0.01));
         unit.kind = kind;
-        (unit.started, unit.ready, unit.listed) = (started, health == Health::Ready, health != Health::Gone);
+        (unit.started, unit.ready, unit.listed) =
+            (started, health == Health::Ready, health != Health::Gone);
         unit.gone_at = unit.gone_at.filter(|_| !unit.listed);
     }
 
@@ -559,12 +668,21 @@
         let hash = |sum: u32, &byte: &u8| (sum ^ u32::from(byte)).wrapping_mul(16_777_619);
         let tag = id.0.as_bytes().iter().fold(2_166_136_261, hash) >> 8;
         let now = self.now;
-        let gone = |unit: &Unit| unit.waiting.is_empty() && unit.gone_at.is_some_and(|at| now > at + FORGET);
+        let gone = |unit: &Unit| {
+            unit.waiting.is_empty() && unit.gone_at.is_some_and(|at| now > at + FORGET)
+        };
         let at = self.units.iter().position(gone).unwrap_or(self.units.len());
         if at == self.units.len() {
             self.units.push(Unit::default());
         }
-        let before = std::mem::replace(&mut self.units[at], Unit { id: id.clone(), tag, ..Unit::default() });
+        let before = std::mem::replace(
+            &mut self.units[at],
+            Unit {
+                id: id.clone(),
+                tag,
+                ..Unit::default()
+            },
+        );
         self.index.remove(&before.id);
         if self.tags.get(&before.tag) == Some(&at) {
             self.tags.remove(&before.tag);
@@ -591,24 +709,35 @@
 
     /// Shuns the units that a note names until then; hands back what follows them there.
     pub fn shun<'a>(&mut self, rest: &'a [u8], until: Duration) -> &'a [u8] {
-        let Some((&count, rest)) = rest.split_first() else { return rest };
+        let Some((&count, rest)) = rest.split_first() else {
+            return rest;
+        };
         let (tags, told) = rest.split_at(rest.len().min(usize::from(count) * TAG));
         for tag in tags.chunks_exact(TAG) {
-            let at = self.tags.get(&tag.iter().fold(0, |sum, &byte| sum << 8 | u32::from(byte)));
-            at.into_iter().for_each(|&at| self.units[at].shunned_until = until);
+            let at = self
+                .tags
+                .get(&tag.iter().fold(0, |sum, &byte| sum << 8 | u32::from(byte)));
+            at.into_iter()
+                .for_each(|&at| self.units[at].shunned_until = until);
         }
         told
     }
 
     /// The tags of units, as many as a note takes.
     pub fn tags<'a>(units: impl Iterator<Item = &'a Unit>) -> Vec<u8> {
-        units.flat_map(|unit| unit.tag.to_be_bytes()[1..].to_vec()).take(TAGS).collect()
+        units
+            .flat_map(|unit| unit.tag.to_be_bytes()[1..].to_vec())
+            .take(TAGS)
+            .collect()
     }
 
     /// An outcome as peers tell it: tag; track and outcome; bin of the time and marks.
     pub fn told(&self, ended: &Ended) -> [u8; TOLD] {
         let [_, t0, t1, t2] = self.units[ended.unit].tag.to_be_bytes();
-        let code = CODES.iter().position(|&code| code == ended.outcome).unwrap_or_default() as u8;
+        let code = CODES
+            .iter()
+            .position(|&code| code == ended.outcome)
+            .unwrap_or_default() as u8;
         let marks = u8::from(ended.cold) + 2 * u8::from(ended.repeat) + 4 * u8::from(ended.flagged);
         let track = ended.track.0.min(15) as u8 + 16 * u8::from(ended.apart);
         let bin = Histogram::bin(ended.spent) as u8;
@@ -616,15 +745,31 @@
     }
 
     /// What a peer told, as far as its units are known here.
-    pub fn heard<'a>(&'a self, payload: &'a [u8], tracks: usize) -> impl Iterator<Item = Ended> + 'a {
+    pub fn heard<'a>(
+        &'a self,
+        payload: &'a [u8],
+        tracks: usize,
+    ) -> impl Iterator<Item = Ended> + 'a {
         payload.chunks_exact(TOLD).filter_map(move |told| {
             let tag = u32::from_be_bytes([0, told[0], told[1], told[2]]);
-            let (track, outcome) = (TrackId((told[3] >> 3 & 15).into()), CODES[usize::from(told[3] & 7)]);
+            let (track, outcome) = (
+                TrackId((told[3] >> 3 & 15).into()),
+                CODES[usize::from(told[3] & 7)],
+            );
             let (spent, marks) = (Histogram::time_in((told[4] & 31).into()), told[4] >> 5);
             let (cold, repeat, flagged) = (marks & 1 > 0, marks & 2 > 0, marks & 4 > 0);
             let apart = told[3] & 128 > 0;
             let unit = *self.tags.get(&tag).filter(|_| track.0 < tracks)?;
-            Some(Ended { unit, track, outcome, spent, cold, repeat, flagged, apart })
+            Some(Ended {
+                unit,
+                track,
+                outcome,
+                spent,
+                cold,
+                repeat,
+                flagged,
+                apart,
+            })
         })
     }
 
@@ -673,7 +818,9 @@
 
     /// What it could do for sure at a time, of what it can do warm.
     pub fn warmth(&self, at: Duration, fig: &Figures) -> f64 {
-        let Some(started) = self.started.filter(|_| self.is_cold(at, fig.warm_up)) else { return 1.0 };
+        let Some(started) = self.started.filter(|_| self.is_cold(at, fig.warm_up)) else {
+            return 1.0;
+        };
         let part = at.saturating_sub(started).as_secs_f64() / fig.warm_up.as_secs_f64();
         fig.cold_from + (1.0 - fig.cold_from) * part.min(1.0)
     }
@@ -697,14 +844,30 @@
 impl Judge {
     pub fn new(tracks: usize, now: Duration) -> Judge {
         let sums = vec![Cusum::default(); tracks + 3];
-        Judge { sums, stage_at: now, clear_since: now, load_before: f64::INFINITY, ..Judge::default() }
+        Judge {
+            sums,
+            stage_at: now,
+            clear_since: now,
+            load_before: f64::INFINITY,
+            ..Judge::default()
+        }
     }
 
     /// The log line of a vote.
     pub fn line(&self, news: News, vote: Vote, fused: f64, (sum, of): (f64, usize)) -> String {
-        let Judge { bit, outcomes, ambient, surge: [errors, losses], .. } = self;
-        let head =
-            format!("build {} stage {} vote {vote:?} bit {}", news.build.0, news.stage.0, u8::from(*bit));
+        let Judge {
+            bit,
+            outcomes,
+            ambient,
+            surge: [errors, losses],
+            ..
+        } = self;
+        let head = format!(
+            "build {} stage {} vote {vote:?} bit {}",
+            news.build.0,
+            news.stage.0,
+            u8::from(*bit)
+        );
         let late = format!("late {ambient:.1} surge {errors:.1} {losses:.1}");
         format!("{head} fused {fused:.2} sum {of} {sum:.1} {late} outcomes {outcomes}")
     }
@@ -717,7 +880,11 @@
 
     /// A tick passed, in which lateness held the build or not; it fades, and rates follow by `part`.
     pub fn tick(&mut self, held: bool, tick: Duration, fade: f64, part: f64) {
-        self.held = if held { self.held + tick } else { self.held.saturating_sub(tick) };
+        self.held = if held {
+            self.held + tick
+        } else {
+            self.held.saturating_sub(tick)
+        };
         self.ambient *= fade;
         self.outcome_rate += (std::mem::take(&mut self.tick_outcomes) - self.outcome_rate) * part;
     }
@@ -730,7 +897,13 @@
 
     /// What this relay tells its peers.
     pub fn entry(&self, news: News, at: Duration, taken: f64, time_ratio: f64) -> PeerEntry {
-        let Judge { bit, on, divergence, outcomes, .. } = *self;
+        let Judge {
+            bit,
+            on,
+            divergence,
+            outcomes,
+            ..
+        } = *self;
         PeerEntry {
             at,
             build: news.build,
@@ -763,7 +936,9 @@
     pub fn failed(&self) -> Option<bool> {
         match self.outcome {
             Outcome::Ok => Some(false),
-            Outcome::Error | Outcome::TimeOut | Outcome::ConnectFailed | Outcome::Reset => Some(true),
+            Outcome::Error | Outcome::TimeOut | Outcome::ConnectFailed | Outcome::Reset => {
+                Some(true)
+            }
             Outcome::Full | Outcome::Abandoned | Outcome::Moot => None,
         }
     }
@@ -771,7 +946,16 @@
     /// A client's report of a wrong answer.
     pub fn report(unit: usize, track: TrackId) -> Ended {
         let (outcome, spent) = (Outcome::Ok, Duration::ZERO);
-        Ended { unit, track, outcome, spent, cold: false, repeat: false, flagged: true, apart: false }
+        Ended {
+            unit,
+            track,
+            outcome,
+            spent,
+            cold: false,
+            repeat: false,
+            flagged: true,
+            apart: false,
+        }
     }
 }
 
