--- a/crates/beechcroft-consensus/src/bytes.rs
+++ b/crates/beechcroft-consensus/src/bytes.rs
@@ -1,6 +1,6 @@
 //! Values as bytes, on disk and in registers: the version of the format, and then postcard.
 
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt;
@@ -38,7 +38,7 @@
 
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Unreadable> {
     let (&version, rest) = bytes.split_first().ok_or(Unreadable::Empty)?;
-    if version != VERSION && stands(Guard::VersionOfValues) {
+    if version != VERSION && Safeguard::ValueFormat.is_enabled() {
         return Err(Unreadable::Version(version));
     }
     match postcard::take_from_bytes(rest) {
--- a/crates/beechcroft-consensus/src/proposer.rs
+++ b/crates/beechcroft-consensus/src/proposer.rs
@@ -3,7 +3,7 @@
 use crate::voter::{Ask, Epochs, Reply};
 use crate::{Ballot, ConfigStore, Op, Orders, Value, VoterEpoch, CONFIG, ORDERS};
 use beechcroft_error::{Fault, Kind};
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -298,7 +298,7 @@
         // Whoever asks may not know that a machine holds another membership by now: what it says counts for that one alone,
         // however often it is asked.
         let speaker = |voter_id: String| {
-            if stands(Guard::OwnMembership) {
+            if Safeguard::ResponderReplica.is_enabled() {
                 voter_id
             } else {
                 from.to_owned()
@@ -351,7 +351,7 @@
                 // fence that epoch, so one of these answers tells of the later one.
                 let epochs = &round.epochs;
                 let counts = |(voter_id, epoch): &(&String, &u64)| {
-                    !stands(Guard::FencedAcceptances)
+                    !Safeguard::FencedAcceptances.is_enabled()
                         || epochs.get(*voter_id).is_none_or(|known| known.0 <= **epoch)
                 };
                 if accepted.iter().filter(counts).count() >= majority {
@@ -370,7 +370,7 @@
 
     /// A majority has promised: applies the orders to the newest accepted value and offers the result.
     fn offer(&mut self, now: u64, register: usize, out: &mut Vec<Action>) {
-        if stands(Guard::OrderLimit) {
+        if Safeguard::UnconditionalDeadline.is_enabled() {
             self.drop_late(now, register, out);
         }
         let side = &mut self.sides[register];
@@ -426,7 +426,7 @@
             .map(|(name, &(epoch, _))| (name.clone(), epoch))
             .collect();
         round.offered = Some((value.clone(), BTreeMap::new()));
-        if !stands(Guard::ConfirmedRefusals) {
+        if !Safeguard::CommittedRejections.is_enabled() {
             let refused = round.carried.iter().filter_map(|(waiting, outcome)| {
                 Some(Action::Answer {
                     id: waiting.id,
--- a/crates/beechcroft-consensus/src/state.rs
+++ b/crates/beechcroft-consensus/src/state.rs
@@ -3,7 +3,7 @@
 use crate::{bytes, Value};
 use beechcroft_config::Config;
 use beechcroft_error::{Fault, Kind};
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
 use flate2::Compression;
@@ -162,7 +162,7 @@
     }
     match bytes::decode(&value.bytes) {
         Ok(held) => Ok(held),
-        Err(_) if !stands(Guard::UnreadableValues) => Ok(T::default()),
+        Err(_) if !Safeguard::UndecodableValues.is_enabled() => Ok(T::default()),
         Err(why) => {
             let length = value.bytes.len();
             let said = format!(
@@ -200,12 +200,12 @@
             return Ok(false);
         };
         let same = |held: &(u32, Digest)| {
-            held.0 == *version && (held.1 == *digest || !stands(Guard::SameBody))
+            held.0 == *version && (held.1 == *digest || !Safeguard::RepeatHasSameBody.is_enabled())
         };
         if self.history.iter().any(same) {
             return Ok(false); // a repeat
         }
-        if *version <= self.forgotten && stands(Guard::ForgottenVersions) {
+        if *version <= self.forgotten && Safeguard::ForgottenVersions.is_enabled() {
             let said = format!("version {version:08x} is from before what is still remembered");
             return Err(Fault::new(Kind::Forgotten, said));
         }
@@ -287,8 +287,12 @@
                             return Err(Fault::new(Kind::UnderWay, said));
                         }
                         Stage::Complete if same && based => return Ok(false), // nothing is left to move
-                        Stage::Reverted if same && !stands(Guard::BegunAnew) => return Ok(false),
-                        Stage::Reverted if same && within && stands(Guard::RepeatWindow) => {
+                        Stage::Reverted if same && !Safeguard::RolloutRestart.is_enabled() => {
+                            return Ok(false)
+                        }
+                        Stage::Reverted
+                            if same && within && Safeguard::RepeatWindow.is_enabled() =>
+                        {
                             return Ok(false)
                         }
                         _ => {}
@@ -322,7 +326,7 @@
                 // A vote back holds for whatever stage it meets: a step may have been taken just before it.
                 let back = *to == Stage::Reverted
                     && matches!(held.stage, Stage::Active(_))
-                    && stands(Guard::VotesMeetAnyStage);
+                    && Safeguard::RollbackFromAnyStage.is_enabled();
                 if held.begun != *begun || held.stage != *from && !back {
                     return Ok(false);
                 }
--- a/crates/beechcroft-consensus/src/voter.rs
+++ b/crates/beechcroft-consensus/src/voter.rs
@@ -1,7 +1,7 @@
 //! A voter of the core: what it has promised and accepted, and how it comes back from a lost disk.
 
 use crate::{bytes, Ballot, Value, VoterEpoch};
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -169,7 +169,7 @@
     fn counted(&self, enough: usize) -> Option<Vec<&Copy>> {
         let holds = |(voter_id, copy): &(&String, &Copy)| {
             **voter_id != self.voter_id
-                && (!stands(Guard::FencedCopies)
+                && (!Safeguard::FencedReplicaStates.is_enabled()
                     || self
                         .epochs
                         .get(*voter_id)
@@ -186,7 +186,7 @@
         let handed = self.copies.get(&self.voter_id);
         if let Some(handed) = handed.filter(|_| counted.len() < enough) {
             let last = |copy: &Copy| {
-                !stands(Guard::HandedOverOnce)
+                !Safeguard::SingleHandover.is_enabled()
                     || copy.before.is_some_and(|before| before <= handed.epoch)
             };
             counted.retain(|copy| last(copy));
@@ -345,7 +345,7 @@
         };
         let learning = self.learning.as_mut()?;
         let (known, holder) = epochs.get(&learning.voter_id)?;
-        let anothers = *holder != self.name && stands(Guard::OneTaker);
+        let anothers = *holder != self.name && Safeguard::SingleSuccessor.is_enabled();
         if *known > learning.epoch || *known == learning.epoch && anothers {
             // Others know a later epoch, or this one as another's: begin again above it, each at a distance of its own.
             let epoch = known + 1 + self.salt % 1021;
@@ -355,7 +355,7 @@
         if asked_epoch != learning.epoch || !voters.contains(&learning.voter_id) {
             return None;
         }
-        if !stands(Guard::MergedEpochs) {
+        if !Safeguard::MergedEpochs.is_enabled() {
             learning.epochs.clear();
         }
         learn(&mut learning.epochs, &epochs);
@@ -426,7 +426,8 @@
     fn put_down(&mut self) -> Records {
         let over = |identity: &Identity| {
             let known = identity.epochs.get(&identity.voter_id);
-            stands(Guard::DeposedIsSilent) && known.is_some_and(|known| known.0 > identity.epoch)
+            Safeguard::DeposedIsSilent.is_enabled()
+                && known.is_some_and(|known| known.0 > identity.epoch)
         };
         if let Some(identity) = self.identity.take_if(|identity| over(identity)) {
             self.former = Some((identity, std::mem::take(&mut self.registers)));
@@ -572,8 +573,8 @@
                 .get(voter_id)
                 .is_some_and(|known| known.0 > *epoch)
         };
-        let lost = stands(Guard::FencedPromises) && quorum.iter().any(fenced);
-        let prior = stands(Guard::PriorBallots) && ballot < held.promised;
+        let lost = Safeguard::FencedPromises.is_enabled() && quorum.iter().any(fenced);
+        let prior = Safeguard::StaleBallots.is_enabled() && ballot < held.promised;
         let value = if prior || lost { None } else { value(held) };
         let epochs = identity.epochs.clone();
         let Some(value) = value else {
--- a/crates/beechcroft-control/src/desks.rs
+++ b/crates/beechcroft-control/src/desks.rs
@@ -5,7 +5,7 @@
 use beechcroft_consensus::{ConfigStore, Op, Orders, CONFIG, ORDERS};
 use beechcroft_error::{Fault, Kind};
 use beechcroft_registry::{Note, State};
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use beechcroft_transport::calls::{self, Call as Known};
 use beechcroft_transport::desk::{Answer, Call};
 use beechcroft_transport::Ground;
@@ -185,7 +185,7 @@
 /// An order that builds on nothing is begun only while its caller waits here: one that has closed may have given the same
 /// order, and later ones, elsewhere. What is dropped here the owner takes out of its queue.
 async fn order(queue: &Queue, register: usize, op: Op, call: &Call) -> Result<Answer, Fault> {
-    let watched = !op.is_fenced() && stands(Guard::GoneCallers);
+    let watched = !op.is_fenced() && Safeguard::CallerPresence.is_enabled();
     if watched && call.caller.is_gone().await {
         return Err(Fault::new(
             Kind::CallerGone,
--- a/crates/beechcroft-control/src/disk.rs
+++ b/crates/beechcroft-control/src/disk.rs
@@ -1,6 +1,6 @@
 //! The thread that owns the disk: it writes what waits together, with one sync, and says when it lasts.
 
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use beechcroft_storage::{Cache, Table};
 use std::future::Future;
 use std::io;
@@ -20,7 +20,8 @@
 /// a machine founds no voters, and votes again once it has learned from the others. Whether it is so.
 pub fn repair(damaged: impl Fn(&str) -> bool, table: &mut Table) -> bool {
     table.retain(|name, _| !damaged(name));
-    let lost = STANDS_ON[..3].iter().any(|name| damaged(name)) && stands(Guard::DamageIsALostDisk);
+    let lost = STANDS_ON[..3].iter().any(|name| damaged(name))
+        && Safeguard::CorruptionIsDiskLoss.is_enabled();
     if lost {
         STANDS_ON.iter().for_each(|name| drop(table.remove(*name)));
         table.insert("identity".into(), Vec::new());
--- a/crates/beechcroft-control/src/keeper.rs
+++ b/crates/beechcroft-control/src/keeper.rs
@@ -21,7 +21,7 @@
 use beechcroft_outlier::{short, Bench, Verdict};
 use beechcroft_registry::{News as UnitNews, Note, State};
 use beechcroft_rollout::conduct::{conduct, Next, View};
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use beechcroft_storage::Table;
 use beechcroft_transport::errand::Errands;
 use beechcroft_transport::post::Post;
@@ -445,7 +445,7 @@
             _ => None,
         };
         let (reply, mut records) = self.voter.ask(ask);
-        if self.unkept && stands(Guard::IdentityBeforeAnswers) {
+        if self.unkept && Safeguard::IdentityBeforeResponse.is_enabled() {
             records.splice(0..0, self.voter.records());
         }
         match told {
@@ -456,7 +456,7 @@
         spawn_local(async move {
             // After a write that failed the voter holds more in memory than on disk: it only promises more than it has
             // said. Whatever it says of it later comes with a write of the whole register.
-            if disk.keep(records).await || !stands(Guard::AnswerAfterSync) {
+            if disk.keep(records).await || !Safeguard::SyncBeforeResponse.is_enabled() {
                 let _ = answer.send(reply);
             }
         });
@@ -467,10 +467,10 @@
     fn asked(&mut self, register: usize, op: Op, read: Instant, answer: oneshot::Sender<Answer>) {
         let mut until = self.at(read) + ORDER_MS;
         if !op.is_fenced() {
-            if stands(Guard::OrderLimit) {
+            if Safeguard::UnconditionalDeadline.is_enabled() {
                 until = self.at(read) + UNFENCED_MS;
             }
-            if self.now() < self.stopped_until && stands(Guard::StoodStill) {
+            if self.now() < self.stopped_until && Safeguard::StallRejection.is_enabled() {
                 let fault = Fault::new(Kind::StoodStill, "ask another core machine");
                 return drop(answer.send(Err(fault)));
             }
@@ -482,7 +482,7 @@
     /// A configuration that is sent again and that this machine knows to be chosen needs no round to say so: what a majority
     /// has accepted stays taken. So a machine whose rounds always meet those of others confirms it all the same.
     fn is_known_taken(&self, op: &Op) -> bool {
-        stands(Guard::TakenIsTaken)
+        Safeguard::KnownChosenRepeat.is_enabled()
             && matches!(op, Op::Replace { .. })
             && ConfigStore::decode(&self.held[CONFIG]).is_ok_and(|store| store.has_taken(op))
     }
--- a/crates/beechcroft-control/src/keeper/contact.rs
+++ b/crates/beechcroft-control/src/keeper/contact.rs
@@ -6,7 +6,7 @@
 
 use super::*;
 use beechcroft_error::Kind;
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 
 const LOOK_EVERY_MS: u64 = 100;
 /// Until a drain that no majority has confirmed is refused: its unit asks another hut after a second.
@@ -96,7 +96,7 @@
     }
 
     fn may_serve(&self, now: u64) -> Done {
-        match self.in_contact(now) || !stands(Guard::ContactToServe) {
+        match self.in_contact(now) || !Safeguard::QuorumContactToServe.is_enabled() {
             true => Ok(()),
             false => Err(out_of_touch()),
         }
@@ -129,7 +129,7 @@
         self.units_new |= changed;
         if state == State::Ready {
             let _ = done.send(Ok(()));
-        } else if changed || stands(Guard::RepeatedDrainHeld) {
+        } else if changed || Safeguard::RepeatedDrainOnMajority.is_enabled() {
             // Also when it is not new here: it may have come by another hut that could not confirm it.
             self.tell_majority(now, &id, state, done, news);
         } else {
@@ -162,7 +162,7 @@
         done: oneshot::Sender<Done>,
         news: &mut Vec<News>,
     ) {
-        let need = if stands(Guard::DrainHeldByMajority) {
+        let need = if Safeguard::DrainOnMajority.is_enabled() {
             self.quorum.need
         } else {
             0
@@ -274,7 +274,9 @@
     /// with them, and its clients may have no other: it names those that have written to it themselves.
     pub(super) fn resolve(&self, now: u64, region: &str, _zone: &str) -> Vec<SocketAddrV4> {
         let fresh = |at: u64, within: u64| now <= at.saturating_add(within);
-        if stands(Guard::HeardBeforeResolve) && !fresh(self.cairns.heard_at(), HEARD_MS) {
+        if Safeguard::PeersHeardBeforeResolve.is_enabled()
+            && !fresh(self.cairns.heard_at(), HEARD_MS)
+        {
             return Vec::new();
         }
         let contact = self.in_contact(now);
--- a/crates/beechcroft-control/src/keeper/quorum.rs
+++ b/crates/beechcroft-control/src/keeper/quorum.rs
@@ -116,7 +116,7 @@
         else {
             return;
         };
-        if now < self.memberships.tell_at || !stands(Guard::EpochsTold) {
+        if now < self.memberships.tell_at || !Safeguard::EpochsAnnounced.is_enabled() {
             return;
         }
         self.memberships.tell_at = now + FENCE_EVERY_MS;
@@ -387,7 +387,7 @@
     /// What a machine that leaves would take away has a copy elsewhere: every other voter that is up has accepted what this
     /// one holds, and where a machine waits for a membership, it has taken this one's.
     pub fn may_end(&self) -> bool {
-        if !stands(Guard::LeavesLast) {
+        if !Safeguard::HandoverBeforeExit.is_enabled() {
             return true;
         }
         let Some(identity) = &self.voter.identity else {
--- a/crates/beechcroft-gossip/src/contact.rs
+++ b/crates/beechcroft-gossip/src/contact.rs
@@ -4,7 +4,7 @@
 //! which that ping was *sent*: what lay in a socket while this process was frozen, or came by the one way that was left, is no
 //! evidence of now. A letter that answers nothing shows one way only and does not count.
 
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Between the pings to a machine that answers.
@@ -96,7 +96,7 @@
 
     /// A letter has come that answers nothing: no evidence while the guard stands.
     pub fn heard(&mut self, now: u64, name: &str) {
-        if !stands(Guard::TwoWayContact) {
+        if !Safeguard::TwoWayContact.is_enabled() {
             self.answered.insert(
                 name.to_owned(),
                 Answered {
--- a/crates/beechcroft-gossip/src/lib.rs
+++ b/crates/beechcroft-gossip/src/lib.rs
@@ -13,7 +13,7 @@
 
 use beechcroft_outlier::Word;
 use beechcroft_registry::{News, Note, State, Waymarks};
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use letter::MEMBER_RANGES;
 use rand::seq::IteratorRandom;
 use rand::{RngExt, SeedableRng};
@@ -690,7 +690,8 @@
             }
         }
         // Its age is told as of the sending. A letter that lay in a queue while this relay stood still would make it new.
-        let lay = stands(Guard::FreshTouches) && (self.is_late(now) || now < self.touch_from);
+        let lay = Safeguard::FreshQuorumReads.is_enabled()
+            && (self.is_late(now) || now < self.touch_from);
         if let Some((age, revision)) = sums.touch.filter(|_| !lay) {
             self.touched(now.saturating_sub(u64::from(age)), revision);
         }
--- a/crates/beechcroft-outlier/src/lease.rs
+++ b/crates/beechcroft-outlier/src/lease.rs
@@ -3,7 +3,7 @@
 //! has been moved is used only `FENCE_MS` after its move was learned, which is longer. So by the time anybody uses the
 //! new place, whoever might still hold the old one has stopped. Clocks are each relay's own steady ones.
 
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use std::collections::{BTreeSet, VecDeque};
 
 /// A relay goes on with the placement that it holds for so long after the core last showed that it agrees.
@@ -68,13 +68,20 @@
     /// are left out.
     pub fn moved_at<P: PartialEq>(&self, place: impl Fn(&BTreeSet<String>) -> P) -> Option<u64> {
         let current = place(&self.aside);
-        let counted = if stands(Guard::EarlierMoves) { KEPT } else { 1 };
+        let counted = if Safeguard::EarlierPlacements.is_enabled() {
+            KEPT
+        } else {
+            1
+        };
         let before = self.before.iter().rev().take(counted);
         let moved = before
             .filter(|(_, aside)| place(aside) != current)
             .map(|(at, _)| *at);
         moved
-            .chain(self.unseen_at.filter(|_| stands(Guard::UnseenMoves)))
+            .chain(
+                self.unseen_at
+                    .filter(|_| Safeguard::UnseenPlacements.is_enabled()),
+            )
             .max()
     }
 }
--- a/crates/beechcroft-proxy/src/offer.rs
+++ b/crates/beechcroft-proxy/src/offer.rs
@@ -2,7 +2,7 @@
 
 use crate::shared::{Shared, PIECE};
 use beechcroft_retry::{heard, End, Head, Heard};
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use beechcroft_transport::guard::{self, Ask, Framing, Read, Reply};
 use beechcroft_transport::line::{Body, Line};
 use std::net::SocketAddrV4;
@@ -45,7 +45,7 @@
     /// answer to it that came late, one could not tell whether a body follows.
     pub fn keep(mut self, line: Line, ask: &Ask, reply: &Reply) {
         let ends = reply.close || reply.framing == Some(Framing::Close) || is_head(ask);
-        if !ends && (line.clean() || !stands(Guard::CleanConnections)) {
+        if !ends && (line.clean() || !Safeguard::CleanConnections.is_enabled()) {
             self.kept = true;
             let now = self.shared.now();
             self.shared
@@ -168,7 +168,7 @@
 }
 
 fn is_head(ask: &Ask) -> bool {
-    ask.method == "HEAD" && stands(Guard::HeadLeavesNone)
+    ask.method == "HEAD" && Safeguard::NoReuseAfterHead.is_enabled()
 }
 
 async fn connect(shared: &Rc<Shared>, offer: &Offer<'_>) -> Result<(Line, Slot), End> {
@@ -242,7 +242,7 @@
     };
     let until = offer.until;
     let rest = async {
-        let part_left = if stands(Guard::PartlySent) {
+        let part_left = if Safeguard::PartialSend.is_enabled() {
             End::Unclear
         } else {
             End::NotSent
--- a/crates/beechcroft-proxy/src/pool.rs
+++ b/crates/beechcroft-proxy/src/pool.rs
@@ -1,7 +1,7 @@
 //! Kept connections to units. A connection comes back only after a whole answer with nothing unread behind it,
 //! and is used again only well inside the time for which the unit keeps it.
 
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use beechcroft_transport::line::Line;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -40,7 +40,7 @@
         {
             let age = now.saturating_sub(since);
             if age < if sure { keep_ms / 2 } else { keep_ms }
-                && (line.clean() || !stands(Guard::CleanConnections))
+                && (line.clean() || !Safeguard::CleanConnections.is_enabled())
             {
                 return Some(line);
             }
--- a/crates/beechcroft-proxy/src/serve.rs
+++ b/crates/beechcroft-proxy/src/serve.rs
@@ -7,7 +7,7 @@
 use crate::shared::{Phase, Shared};
 use beechcroft_error::Kind;
 use beechcroft_hotkeys::{key_of, Pins};
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use beechcroft_transport::guard::{self, Ask, Framing, Read};
 use beechcroft_transport::line::{Body, Line};
 use beechcroft_transport::Stream;
@@ -81,7 +81,7 @@
     let keep = ask.keep && shared.phase.get() == Phase::Ready;
     let has_body = !matches!(ask.framing, None | Some(Framing::Length(0)));
     // A connection whose body was not read cannot carry another request.
-    let refuse_keep = keep && (!has_body || !stands(Guard::UnreadBody));
+    let refuse_keep = keep && (!has_body || !Safeguard::UnreadRequestBody.is_enabled());
     let table = shared.table.borrow().clone();
     let Some(table) =
         table.filter(|_| !matches!(shared.phase.get(), Phase::Coming | Phase::Closing))
@@ -98,7 +98,7 @@
         answer_own(line, Kind::NoRoute, 0, refuse_keep).await;
         return refuse_keep;
     };
-    if ask.id.as_deref().is_none_or(str::is_empty) && stands(Guard::OwnId) {
+    if ask.id.as_deref().is_none_or(str::is_empty) && Safeguard::AttemptIdRequired.is_enabled() {
         // No unit runs it, and no answer to it could be told from another's.
         answer_own(line, Kind::Malformed, 0, refuse_keep).await;
         return refuse_keep;
@@ -237,7 +237,7 @@
             timeout_at(until, left.next(&mut unit, &mut some)).await,
             Ok(Ok(()))
         ) {
-            if stands(Guard::BrokenOff) {
+            if Safeguard::TruncatedResponse.is_enabled() {
                 return false;
             }
             break;
--- a/crates/beechcroft-proxy/src/start.rs
+++ b/crates/beechcroft-proxy/src/start.rs
@@ -5,7 +5,7 @@
 //! acknowledged before the relay asked is counted in. It begins once it holds copies that are no older. A hut without
 //! contact refuses, and the next one is asked.
 
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 
 /// Between two asks. The earlier ones are still waited for.
 const ASK_EVERY_MS: u64 = 300;
@@ -50,7 +50,7 @@
             .confirmed
             .is_some_and(|least| held[0] >= least[0] && held[1] >= least[1]);
         confirmed
-            || !stands(Guard::ConfirmedStart)
+            || !Safeguard::ConfirmedStart.is_enabled()
             || (self.confirmed.is_none() && now >= since + UNCONFIRMED_MS)
     }
 }
--- a/crates/beechcroft-retry/src/lib.rs
+++ b/crates/beechcroft-retry/src/lib.rs
@@ -5,7 +5,7 @@
 //! if it is not repeatable, and only then may it be refused with a promise (rules TWICE and REFUSED).
 
 use beechcroft_error::Kind;
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 
 /// What a head that came in the place of an answer says of whose it is and what became of the request.
 #[derive(Clone, Copy, Debug, Default)]
@@ -41,11 +41,13 @@
         return Heard::Interim;
     }
     match head.id {
-        None if stands(Guard::NamelessAnswers) => return Heard::Unclear,
-        Some(other) if other != id && stands(Guard::StrangeAnswers) => return Heard::Stray,
+        None if Safeguard::UnidentifiedResponses.is_enabled() => return Heard::Unclear,
+        Some(other) if other != id && Safeguard::ForeignResponses.is_enabled() => {
+            return Heard::Stray
+        }
         _ => {}
     }
-    let refusal = head.status >= 400 || !stands(Guard::RefusalStatus);
+    let refusal = head.status >= 400 || !Safeguard::RejectionStatus.is_enabled();
     match head.status {
         421 => Heard::NotRun(End::Elsewhere),
         _ if head.not_executed && refusal => Heard::NotRun(End::Refused),
@@ -152,7 +154,7 @@
     }
 
     fn may_run_again(&self) -> bool {
-        self.repeatable || !stands(Guard::MaybeRun)
+        self.repeatable || !Safeguard::MaybeExecuted.is_enabled()
     }
 
     /// An offer ended while another is still open: that one decides.
--- a/crates/beechcroft-rollout/src/conduct.rs
+++ b/crates/beechcroft-rollout/src/conduct.rs
@@ -4,7 +4,7 @@
 use crate::{Count, ILL_SHARE};
 use beechcroft::cusum::{log_ratio, MIN_OUTCOMES};
 use beechcroft::histogram::excess;
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use std::collections::BTreeMap;
 
 /// The part of requests that a stage after the trial sends to the new version; after the last one nothing goes to
@@ -26,7 +26,7 @@
 /// evidence, as a request is one outcome, but they are requests that the version gets: with two of them a bad one
 /// gets three times what its share says. The earlier version's units run until the rollout is complete and take them.
 pub fn takes_further_tries(stage: Option<u8>) -> bool {
-    !stands(Guard::FurtherTriesToEarlier) && stage == Some(LAST)
+    !Safeguard::RetriesToBaseline.is_enabled() && stage == Some(LAST)
 }
 
 /// By when, of the ramp, the trial is over; the steps after it share what is left.
@@ -107,7 +107,7 @@
 /// What the core counts as the units' own and not the version's, as the relays do: a quarter of them may be ill.
 pub fn excess_of_few(units: &BTreeMap<u16, Count>, good: f64) -> f64 {
     let trials: u32 = units.values().map(|count| count.trials).sum();
-    if !stands(Guard::IllUnitsAreNoVersion)
+    if !Safeguard::UnhealthyEndpointsExcused.is_enabled()
         || units.len() < 3
         || trials < OF_EACH * units.len() as u32
     {
@@ -143,7 +143,7 @@
     /// speak for the version do not outweigh later ones.
     fn evidence(&self) -> [f64; 2] {
         let before = match self.before {
-            Some(before) if stands(Guard::EvidenceOfAllStages) => {
+            Some(before) if Safeguard::EvidenceOfAllStages.is_enabled() => {
                 before.nats.map(|nats| nats.max(0.0))
             }
             _ => [0.0; 2],
@@ -173,7 +173,7 @@
 
     /// Whether the earlier version fails so often itself that a bad one could pass for its like.
     fn is_earlier_ill(&self) -> bool {
-        stands(Guard::EarlierVersionWell) && self.good > ILL
+        Safeguard::HealthyBaseline.is_enabled() && self.good > ILL
     }
 
     /// Whether a bad version could do little harm in the next stage: what it has got, what the next stage would give
@@ -186,10 +186,10 @@
             return false;
         };
         let told = self.asked > 0 || passed >= UNTOLD_STEPS * STEP_PART;
-        if !told || stands(Guard::FewOutcomesByLowestRate) && self.evidence()[1] > 0.0 {
+        if !told || Safeguard::SmallSampleLowestRate.is_enabled() && self.evidence()[1] > 0.0 {
             return false;
         }
-        let before = if stands(Guard::ExposureOfAllStages) {
+        let before = if Safeguard::ExposureOfAllStages.is_enabled() {
             before
         } else {
             Before::default()
@@ -232,7 +232,7 @@
     let share = share(view.stage + 1, view.canary_share);
     let bears =
         f64::from(view.new_slots) >= 0.6 * share * f64::from(view.old_slots.max(view.new_slots));
-    if view.is_doubtful() && view.is_too_late() && stands(Guard::DoubtAtTheEnd) {
+    if view.is_doubtful() && view.is_too_late() && Safeguard::RevertWhenInDoubt.is_enabled() {
         return Next::Back;
     }
     if view.alarm || view.is_doubtful() || view.is_earlier_ill() || !bears {
--- a/crates/beechcroft-rollout/src/lib.rs
+++ b/crates/beechcroft-rollout/src/lib.rs
@@ -8,7 +8,7 @@
 
 use beechcroft::cusum::{self, Cusum, LOG_GAMMA, MIN_OUTCOMES};
 use beechcroft::histogram::{excess, Histogram, Tally};
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -217,8 +217,8 @@
             cold,
             beaten,
         } = outcome;
-        let cold = cold && stands(Guard::ColdIsNoBuild);
-        if stands(Guard::FirstOffersOnly) && !first || cold && beaten {
+        let cold = cold && Safeguard::SlowStartExcused.is_enabled();
+        if Safeguard::FirstAttemptsOnly.is_enabled() && !first || cold && beaten {
             return;
         }
         let past = self.past.entry(route).or_default();
@@ -226,7 +226,7 @@
         // Where this relay knows the route too little, all relays know the service: routes differ, so twice the mark.
         let of_all = || {
             slow_from(&self.past_of_all)
-                .filter(|_| stands(Guard::SlowMarkOfAll))
+                .filter(|_| Safeguard::SharedSlowThreshold.is_enabled())
                 .map(|from| from.mul_f64(LOADED))
         };
         let slow_from = past
--- a/crates/beechcroft-safeguards/src/lib.rs
+++ b/crates/beechcroft-safeguards/src/lib.rs
@@ -1,7 +1,25 @@
-//! The guards of the control side, each by a name: the line that keeps a promise asks whether its guard stands. In a
-//! program it always does. Tests and the world take one out, and must then find the promise broken.
+//! Safeguards of the control plane, each with a name.
+//!
+//! The line of code that keeps a promise asks whether its safeguard is enabled:
+//!
+//! ```
+//! use beechcroft_safeguards::Safeguard;
+//!
+//! let (ballot, promised) = (3, 5);
+//! let is_stale = ballot < promised && Safeguard::StaleBallots.is_enabled();
+//! assert!(is_stale);
+//! ```
+//!
+//! In a program every safeguard is always enabled and the question is a constant. Tests and the simulator are
+//! built with the feature `removable`: they disable one safeguard on their own thread and must then observe the
+//! broken promise. `docs/design/control.md` lists the promise and the test of each.
 
-/// A guard; `docs/design/control.md` says which promise it keeps and which test finds it missing.
+#![warn(missing_docs)]
+
+/// A safeguard of the control plane.
+///
+/// With the feature `removable` it is read and printed in snake case. Names of earlier releases are still read,
+/// because days of the simulator that were kept in TOML use them.
 #[cfg_attr(
     feature = "removable",
     derive(serde::Deserialize, serde::Serialize, strum::EnumIter, strum::Display)
@@ -12,173 +30,245 @@
     strum(serialize_all = "snake_case")
 )]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Guard {
-    // Contact with a majority.
-    /// A key's place counts as moved by each placement that may still be in force elsewhere, not by the last alone.
-    EarlierMoves,
-    /// After a placement that it has never seen, a relay takes every key for moved.
-    UnseenMoves,
-    /// A relay that stood still takes no sign of the core's agreement from letters that may have lain unread.
-    FreshTouches,
-    /// A hut without contact acknowledges no beat, drain or end, and takes no order.
-    ContactToServe,
-    /// Contact counts only answers to pings, from the time at which the ping was sent.
+pub enum Safeguard {
+    // Contact with a quorum.
+    /// Every placement that may still be in force elsewhere counts when a key's owner is compared,
+    /// not the latest one alone.
+    #[cfg_attr(feature = "removable", serde(alias = "earlier_moves"))]
+    EarlierPlacements,
+    /// After a placement that a proxy never saw, it treats every key as moved.
+    #[cfg_attr(feature = "removable", serde(alias = "unseen_moves"))]
+    UnseenPlacements,
+    /// A proxy that was stalled ignores quorum reads announced in messages that may have waited
+    /// unread.
+    #[cfg_attr(feature = "removable", serde(alias = "fresh_touches"))]
+    FreshQuorumReads,
+    /// A control node without quorum contact acknowledges no heartbeat, drain or deregistration and
+    /// accepts no operation.
+    #[cfg_attr(feature = "removable", serde(alias = "contact_to_serve"))]
+    QuorumContactToServe,
+    /// Contact counts only answers to pings, dated by the time at which the ping was sent.
     TwoWayContact,
-    /// A drain or an end is acknowledged once a majority of the core holds it.
-    DrainHeldByMajority,
-    /// The same when the drain is not new to the hut that is told of it.
-    RepeatedDrainHeld,
-    /// A relay that starts is ready once it holds what a majority confirms.
+    /// A drain or deregistration is acknowledged once a majority of the control nodes stores it.
+    #[cfg_attr(feature = "removable", serde(alias = "drain_held_by_majority"))]
+    DrainOnMajority,
+    /// The same applies when the drain is not new to the control node that receives it.
+    #[cfg_attr(feature = "removable", serde(alias = "repeated_drain_held"))]
+    RepeatedDrainOnMajority,
+    /// A starting proxy becomes ready once it holds the revisions that a majority confirms.
     ConfirmedStart,
-    /// A hut that hears nobody sends no client anywhere.
-    HeardBeforeResolve,
-    // Orders and their repeats.
-    /// An order whose caller has gone is not begun.
-    GoneCallers,
-    /// An order that has no base to build on enters no round once its caller may have gone elsewhere.
-    OrderLimit,
-    /// What came while the process stood still is turned away.
-    StoodStill,
-    /// A version is a repeat only with the very body that was taken under it.
-    SameBody,
-    /// A version from before what the history holds is not refused.
+    /// A control node that hears no peer names no proxy to clients.
+    #[cfg_attr(feature = "removable", serde(alias = "heard_before_resolve"))]
+    PeersHeardBeforeResolve,
+
+    // Operations and their repeats.
+    /// An operation whose caller has closed its connection is not started.
+    #[cfg_attr(feature = "removable", serde(alias = "gone_callers"))]
+    CallerPresence,
+    /// An unconditional operation enters no round once its caller may have gone to another node.
+    #[cfg_attr(feature = "removable", serde(alias = "order_limit"))]
+    UnconditionalDeadline,
+    /// Operations that waited while the process was stalled are rejected.
+    #[cfg_attr(feature = "removable", serde(alias = "stood_still"))]
+    StallRejection,
+    /// A version counts as a repeat only with the body that was committed under it.
+    #[cfg_attr(feature = "removable", serde(alias = "same_body"))]
+    RepeatHasSameBody,
+    /// A version from before the recorded history is not rejected as a conflict.
     ForgottenVersions,
-    /// A refusal is told only once the value that it speaks of is confirmed.
-    ConfirmedRefusals,
-    /// A voter accepts nothing under an earlier ballot than it has promised.
-    PriorBallots,
-    /// A rollout that was reverted is begun anew when it is asked for anew.
-    BegunAnew,
-    /// A rollout that is sent again soon after it was reverted is not begun anew.
+    /// A rejection is reported only once the value that it is based on is chosen.
+    #[cfg_attr(feature = "removable", serde(alias = "confirmed_refusals"))]
+    CommittedRejections,
+    /// An acceptor accepts nothing under a lower ballot than it has promised.
+    #[cfg_attr(feature = "removable", serde(alias = "prior_ballots"))]
+    StaleBallots,
+    /// A reverted rollout starts again when it is requested again.
+    #[cfg_attr(feature = "removable", serde(alias = "begun_anew"))]
+    RolloutRestart,
+    /// A rollout request repeated shortly after the rollout was reverted does not start it again.
     RepeatWindow,
-    /// A vote to revert a rollout holds though a step was taken just before it.
-    VotesMeetAnyStage,
-    /// A value that cannot be read is not taken for an empty one.
-    UnreadableValues,
-    /// What a machine knows to be chosen it confirms without a round.
-    TakenIsTaken,
-    // Membership of the quorum.
-    /// A voter accepts nothing of a round that stands on a promise of a fenced epoch.
+    /// A vote to roll back applies even if the rollout has just advanced.
+    #[cfg_attr(feature = "removable", serde(alias = "votes_meet_any_stage"))]
+    RollbackFromAnyStage,
+    /// A value that cannot be decoded is never treated as an empty one.
+    #[cfg_attr(feature = "removable", serde(alias = "unreadable_values"))]
+    UndecodableValues,
+    /// A repeated configuration that this node knows to be chosen is confirmed without a round.
+    #[cfg_attr(feature = "removable", serde(alias = "taken_is_taken"))]
+    KnownChosenRepeat,
+
+    // Replica membership.
+    /// An acceptor rejects a proposal whose quorum includes a promise from a fenced epoch.
     FencedPromises,
-    /// A proposer does not count an acceptance of an epoch that has been fenced.
+    /// A proposer does not count an acceptance from a fenced epoch.
     FencedAcceptances,
-    /// A learner does not count a copy by an epoch that another of its copies knows to be over.
-    FencedCopies,
-    /// A learner takes the former holder's own copy only if no other knows of an epoch between.
-    HandedOverOnce,
-    /// A holder that hears of a later epoch of its membership is a voter no more.
+    /// A learner does not count the state of a replica whose epoch another answer shows to be
+    /// fenced.
+    #[cfg_attr(feature = "removable", serde(alias = "fenced_copies"))]
+    FencedReplicaStates,
+    /// A learner counts the former holder's state only if no other node knows an epoch in between.
+    #[cfg_attr(feature = "removable", serde(alias = "handed_over_once"))]
+    SingleHandover,
+    /// A holder that learns of a later epoch of its replica stops voting.
     DeposedIsSilent,
-    /// An epoch that is recorded as another machine's is not taken.
-    OneTaker,
-    /// Epochs are told to each core machine until it says that it knows them.
-    EpochsTold,
-    /// A machine that leaves ends once its membership is taken, or every voter that is up holds what it holds.
-    LeavesLast,
-    /// A learner goes on with what all that answered know of epochs.
+    /// An epoch that is recorded for another node is not taken over.
+    #[cfg_attr(feature = "removable", serde(alias = "one_taker"))]
+    SingleSuccessor,
+    /// Epochs are announced to each control node until it confirms that it knows them.
+    #[cfg_attr(feature = "removable", serde(alias = "epochs_told"))]
+    EpochsAnnounced,
+    /// A node that shuts down exits once its replica is taken over or every live replica holds its
+    /// state.
+    #[cfg_attr(feature = "removable", serde(alias = "leaves_last"))]
+    HandoverBeforeExit,
+    /// A learner continues with the epochs known to all nodes that answered.
     MergedEpochs,
-    /// What a machine says counts for the membership that it holds, not for the one that it was asked for.
-    OwnMembership,
+    /// A response counts for the replica that the responder holds, not for the one that was
+    /// addressed.
+    #[cfg_attr(feature = "removable", serde(alias = "own_membership"))]
+    ResponderReplica,
+
     // State on disk.
-    /// An end of the log that cannot be read is torn only beyond the last entry that is known to be synced.
-    SyncedMark,
-    /// Entries are numbered: what is missing or unreadable before a later one is damage.
-    EntriesWithoutGaps,
-    /// A voter whose tables are damaged has lost its disk: it learns before it votes, and founds nothing.
-    DamageIsALostDisk,
-    /// A value of another version of the program is an error, and no empty value.
-    VersionOfValues,
-    /// Nothing is answered that is not on disk.
-    AnswerAfterSync,
-    /// Nothing is answered under an identity that is not on disk.
-    IdentityBeforeAnswers,
-    // Answers and their owners.
-    /// A relay's call takes only the answer that names it.
-    CallIds,
-    /// A call's connection is kept only if nothing was read behind its answer.
-    ErrandReadAhead,
-    /// A desk ends a connection on which it has read into a next call.
-    DeskReadAhead,
-    /// A request without an attempt id is not offered: no answer could be told to be its own.
-    OwnId,
-    /// An answer without an attempt id is nobody's.
-    NamelessAnswers,
-    /// An answer with another attempt id is read over.
-    StrangeAnswers,
-    /// A refusal is believed with the status of one only.
-    RefusalStatus,
-    /// What has left in part may have run.
-    PartlySent,
-    /// A connection is kept only after a whole answer with nothing behind it.
+    /// An unreadable end of the log is a torn write only beyond the last entry known to be synced.
+    #[cfg_attr(feature = "removable", serde(alias = "synced_mark"))]
+    SyncedWatermark,
+    /// A missing or unreadable entry before a later one is corruption.
+    #[cfg_attr(feature = "removable", serde(alias = "entries_without_gaps"))]
+    ContiguousEntries,
+    /// A replica with corrupt records counts as one that lost its disk: it recovers before it votes
+    /// and never bootstraps.
+    #[cfg_attr(feature = "removable", serde(alias = "damage_is_a_lost_disk"))]
+    CorruptionIsDiskLoss,
+    /// A value in another format version is an error, never an empty value.
+    #[cfg_attr(feature = "removable", serde(alias = "version_of_values"))]
+    ValueFormat,
+    /// No response goes out before the records it depends on are synced.
+    #[cfg_attr(feature = "removable", serde(alias = "answer_after_sync"))]
+    SyncBeforeResponse,
+    /// No response goes out under an identity that is not on disk.
+    #[cfg_attr(feature = "removable", serde(alias = "identity_before_answers"))]
+    IdentityBeforeResponse,
+
+    // Responses and their owners.
+    /// An RPC accepts only the response that carries its id.
+    #[cfg_attr(feature = "removable", serde(alias = "call_ids"))]
+    RpcIds,
+    /// An RPC connection is reused only if nothing was read beyond its response.
+    #[cfg_attr(feature = "removable", serde(alias = "errand_read_ahead"))]
+    ClientReadAhead,
+    /// A server closes a connection on which it has read into the next call.
+    #[cfg_attr(feature = "removable", serde(alias = "desk_read_ahead"))]
+    ServerReadAhead,
+    /// A request without an attempt id is not forwarded: no response could be matched to it.
+    #[cfg_attr(feature = "removable", serde(alias = "own_id"))]
+    AttemptIdRequired,
+    /// A response without an attempt id belongs to no request.
+    #[cfg_attr(feature = "removable", serde(alias = "nameless_answers"))]
+    UnidentifiedResponses,
+    /// A response with another attempt id is skipped.
+    #[cfg_attr(feature = "removable", serde(alias = "strange_answers"))]
+    ForeignResponses,
+    /// A rejection is believed only with the status of an error.
+    #[cfg_attr(feature = "removable", serde(alias = "refusal_status"))]
+    RejectionStatus,
+    /// A request that was sent in part may have been executed.
+    #[cfg_attr(feature = "removable", serde(alias = "partly_sent"))]
+    PartialSend,
+    /// A connection is reused only after a complete response with nothing behind it.
     CleanConnections,
-    /// What may have run and must not run twice is not offered again.
-    MaybeRun,
-    /// After a HEAD a connection is not kept: how long a late answer on it is cannot be told.
-    HeadLeavesNone,
-    /// An answer that names two owners is none.
-    TwoOwners,
-    /// An answer that breaks off under way to a client does not look whole.
-    BrokenOff,
-    /// A client's connection whose body was not read carries no other request.
-    UnreadBody,
+    /// A non-idempotent request that may have been executed is not retried.
+    #[cfg_attr(feature = "removable", serde(alias = "maybe_run"))]
+    MaybeExecuted,
+    /// After a HEAD request a connection is not reused: the length of a late response on it is
+    /// unknown.
+    #[cfg_attr(feature = "removable", serde(alias = "head_leaves_none"))]
+    NoReuseAfterHead,
+    /// A response that carries two different attempt ids is rejected.
+    #[cfg_attr(feature = "removable", serde(alias = "two_owners"))]
+    ConflictingAttemptIds,
+    /// A response that breaks off on its way to a client does not look complete.
+    #[cfg_attr(feature = "removable", serde(alias = "broken_off"))]
+    TruncatedResponse,
+    /// A client connection whose request body was not read carries no further request.
+    #[cfg_attr(feature = "removable", serde(alias = "unread_body"))]
+    UnreadRequestBody,
+
     // Rollouts.
-    /// What earlier stages left of evidence against a version is not forgotten when a stage begins.
+    /// Evidence against a version from earlier stages is kept when a stage begins.
     EvidenceOfAllStages,
-    /// Few outcomes are judged by the lowest rate of failures.
-    FewOutcomesByLowestRate,
-    /// What a version got in earlier stages counts to what it may get.
+    /// Few outcomes are judged by the lowest failure rate.
+    #[cfg_attr(feature = "removable", serde(alias = "few_outcomes_by_lowest_rate"))]
+    SmallSampleLowestRate,
+    /// Requests that a version received in earlier stages count towards its exposure limit.
     ExposureOfAllStages,
-    /// No stage begins while the earlier version fails so often that a bad one would pass for its like.
-    EarlierVersionWell,
-    /// Of a request only its first offer is evidence on a version.
-    FirstOffersOnly,
-    /// What a request is offered further is no trial in any stage, while the earlier version can take it.
-    FurtherTriesToEarlier,
-    /// That a unit is slow from its start is not held against its version.
-    ColdIsNoBuild,
-    /// What a few units bring beyond the median one keeps no version from its end.
-    IllUnitsAreNoVersion,
-    /// A rollout that is still in doubt when its time is over goes back.
-    DoubtAtTheEnd,
-    /// A relay that knows too little of the earlier version takes the slow mark from what all know.
-    SlowMarkOfAll,
+    /// No stage begins while the baseline fails so often that a bad version would look the same.
+    #[cfg_attr(feature = "removable", serde(alias = "earlier_version_well"))]
+    HealthyBaseline,
+    /// Only the first attempt of a request is evidence about a version.
+    #[cfg_attr(feature = "removable", serde(alias = "first_offers_only"))]
+    FirstAttemptsOnly,
+    /// Retries go to the baseline in every stage while it can take them.
+    #[cfg_attr(feature = "removable", serde(alias = "further_tries_to_earlier"))]
+    RetriesToBaseline,
+    /// Slowness of an endpoint that is warming up is not held against its version.
+    #[cfg_attr(feature = "removable", serde(alias = "cold_is_no_build"))]
+    SlowStartExcused,
+    /// What a few endpoints contribute beyond the median one does not block a version.
+    #[cfg_attr(feature = "removable", serde(alias = "ill_units_are_no_version"))]
+    UnhealthyEndpointsExcused,
+    /// A rollout that is still in doubt when its time is over is reverted.
+    #[cfg_attr(feature = "removable", serde(alias = "doubt_at_the_end"))]
+    RevertWhenInDoubt,
+    /// A proxy that knows too little of the baseline uses the slowness threshold of the whole
+    /// fleet.
+    #[cfg_attr(feature = "removable", serde(alias = "slow_mark_of_all"))]
+    SharedSlowThreshold,
 }
 
-/// Whether a guard stands.
 #[cfg(not(feature = "removable"))]
-#[inline(always)]
-pub const fn stands(_: Guard) -> bool {
-    true
+impl Safeguard {
+    /// Whether the safeguard is enabled: always, in a program.
+    #[inline(always)]
+    pub const fn is_enabled(self) -> bool {
+        true
+    }
 }
 
 #[cfg(feature = "removable")]
-pub use removable::{stands, without, Without};
+pub use removable::{disable, Disabled};
 
 #[cfg(feature = "removable")]
 mod removable {
-    use super::Guard;
+    use super::Safeguard;
     use std::cell::Cell;
 
     thread_local! {
-        static TAKEN_OUT: Cell<Option<Guard>> = const { Cell::new(None) };
+        static DISABLED: Cell<Option<Safeguard>> = const { Cell::new(None) };
     }
 
-    /// Whether a guard stands on this thread.
-    pub fn stands(guard: Guard) -> bool {
-        TAKEN_OUT.get() != Some(guard)
+    impl Safeguard {
+        /// Whether the safeguard is enabled on this thread.
+        pub fn is_enabled(self) -> bool {
+            DISABLED.get() != Some(self)
+        }
     }
 
-    /// Until it is dropped, a guard is out on this thread.
+    /// Keeps a safeguard disabled on this thread; dropping it restores what held before.
     #[must_use]
-    pub struct Without(Option<Guard>);
+    pub struct Disabled {
+        before: Option<Safeguard>,
+    }
 
-    /// Takes a guard out on this thread; none puts all back.
-    pub fn without(guard: Option<Guard>) -> Without {
-        Without(TAKEN_OUT.replace(guard))
+    /// Disables one safeguard on this thread; `None` enables all of them.
+    pub fn disable(safeguard: Option<Safeguard>) -> Disabled {
+        Disabled {
+            before: DISABLED.replace(safeguard),
+        }
     }
 
-    impl Drop for Without {
+    impl Drop for Disabled {
         fn drop(&mut self) {
-            TAKEN_OUT.set(self.0);
+            DISABLED.set(self.before);
         }
     }
 }
--- a/crates/beechcroft-simulator/src/whole/day.rs
+++ b/crates/beechcroft-simulator/src/whole/day.rs
@@ -137,7 +137,7 @@
         .build()
         .expect("a runtime without sockets");
     let scenario = scenario.clone();
-    let _out = beechcroft_safeguards::without(scenario.without);
+    let _out = beechcroft_safeguards::disable(scenario.without);
     runtime.block_on(LocalSet::new().run_until(async move { play(scenario).await }))
 }
 
--- a/crates/beechcroft-simulator/src/whole/scenario.rs
+++ b/crates/beechcroft-simulator/src/whole/scenario.rs
@@ -85,7 +85,7 @@
     pub mutant: Option<Mutant>,
     /// Of the control side's guards, one that is taken out of the programs' own text: tests must find it missing.
     #[serde(default)]
-    pub without: Option<beechcroft_safeguards::Guard>,
+    pub without: Option<beechcroft_safeguards::Safeguard>,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
--- a/crates/beechcroft-storage/src/lib.rs
+++ b/crates/beechcroft-storage/src/lib.rs
@@ -22,7 +22,7 @@
 
 pub use damage::Damage;
 
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use frame::{sum_of, Frame};
 use okaywal::{Configuration, Entry, EntryId, LogManager, SegmentReader, WriteAheadLog};
 use std::collections::BTreeMap;
@@ -387,7 +387,7 @@
             .as_ref()
             .and_then(|mark| mark.split_last_chunk::<4>())
         {
-            Some((number, sum)) if stands(Guard::SyncedMark) => (number, sum),
+            Some((number, sum)) if Safeguard::SyncedWatermark.is_enabled() => (number, sum),
             _ => return 0,
         };
         let number = number
@@ -443,7 +443,7 @@
                 .entries("log at 0: its first entry is damaged or of another version".into()),
             (Some(log), Some(begins)) => {
                 let known = self.snapshot.is_some() && found.damage.is_none();
-                if begins != held && known && stands(Guard::EntriesWithoutGaps) {
+                if begins != held && known && Safeguard::ContiguousEntries.is_enabled() {
                     let older = if begins > held { "state" } else { "log" };
                     found.damage.entries(format!(
                         "{older}: the snapshot is of entry {held}, and the log begins after {begins}: it is an older one"
@@ -522,7 +522,7 @@
                 self.last + 1,
                 place.saturating_add(frame.length).min(log.len()),
             );
-            if frame.number > next && stands(Guard::EntriesWithoutGaps) {
+            if frame.number > next && Safeguard::ContiguousEntries.is_enabled() {
                 let to = frame.number - 1;
                 self.damage
                     .entries(format!("log at {at}: entries {next} to {to} are damaged"));
@@ -530,7 +530,7 @@
             if !frame.parts.iter().all(|part| part.sound) && frame.number > mark {
                 let later = Frame::find(log, end, frame.number);
                 if later
-                    .filter(|_| stands(Guard::EntriesWithoutGaps))
+                    .filter(|_| Safeguard::ContiguousEntries.is_enabled())
                     .is_none()
                 {
                     break;
--- a/crates/beechcroft-transport/src/desk.rs
+++ b/crates/beechcroft-transport/src/desk.rs
@@ -7,7 +7,7 @@
 use crate::{Ground, Wire};
 use async_h1::server::{decode, Encoder};
 use beechcroft_error::{Fault, Kind};
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use futures_lite::io::{self, AsyncReadExt};
 use http_types::{Body, Request, Response, StatusCode};
 use std::future::Future;
@@ -212,7 +212,7 @@
             let url = request.url();
             let (path, query) = (url.path().to_owned(), url.query().unwrap_or("").to_owned());
             // A next call that was read ahead is lost: its caller must not take a later one's answer for its own.
-            keep &= !stands(Guard::DeskReadAhead) || wire.read_just(body.len());
+            keep &= !Safeguard::ServerReadAhead.is_enabled() || wire.read_just(body.len());
             let read = Instant::now();
             let caller = Caller(wire.clone());
             handler(Call {
--- a/crates/beechcroft-transport/src/errand.rs
+++ b/crates/beechcroft-transport/src/errand.rs
@@ -2,7 +2,7 @@
 
 use crate::{Ground, Wire};
 use beechcroft_error::{Fault, Kind};
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 use futures_lite::io::AsyncReadExt;
 use http_types::{Body, Method, Request, Url};
 use std::cell::{Cell, RefCell};
@@ -104,7 +104,7 @@
         let named = answer.header(CALL_ID).map(|of| of.as_str() == id);
         // A relay of an older release names no call: the first answer on a connection is the call's all the same.
         let owned = named.unwrap_or(fresh);
-        if !owned && stands(Guard::CallIds) {
+        if !owned && Safeguard::RpcIds.is_enabled() {
             return Err(http_types::format_err!("an answer to another call"));
         }
         let closes = answer
@@ -122,7 +122,7 @@
                 body.len()
             ));
         }
-        let just = !stands(Guard::ErrandReadAhead) || wire.read_just(body.len());
+        let just = !Safeguard::ClientReadAhead.is_enabled() || wire.read_just(body.len());
         if named == Some(true) && !closes && just && wire.clean() {
             let mut kept = self.kept.borrow_mut();
             let kept = kept.entry(to).or_default();
--- a/crates/beechcroft-transport/src/guard.rs
+++ b/crates/beechcroft-transport/src/guard.rs
@@ -4,7 +4,7 @@
 //! other than chunked. Raw targets and header values are passed on as they came.
 
 use beechcroft_error::Kind;
-use beechcroft_safeguards::{stands, Guard};
+use beechcroft_safeguards::Safeguard;
 
 /// How the bytes after a head are told apart from the next head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -248,7 +248,8 @@
         let is = |name: &str| header.name.eq_ignore_ascii_case(name);
         if is("beechcroft-attempt-id") {
             let id = text(header.value);
-            if reply.id.is_some() && reply.id != id && stands(Guard::TwoOwners) {
+            if reply.id.is_some() && reply.id != id && Safeguard::ConflictingAttemptIds.is_enabled()
+            {
                 return Read::Bad(Kind::Lost);
             }
             reply.id = id;
