--- a/crates/beechcroft-balancer/src/lib.rs
+++ b/crates/beechcroft-balancer/src/lib.rs
@@ -1,8 +1,19 @@
-//! Limits that hold summed over all relays without asking any: further tries, cold units, the trial's share;
-//! and the yard, which unit a request goes to. No I/O; times are milliseconds of a steady clock.
+//! Load balancing: which endpoint a request goes to, and budgets that hold summed over all proxies without asking any.
+//!
+//! - [`LoadBalancer`] chooses an endpoint: two random choices, the less loaded one taken.
+//! - [`RetryBudget`], [`SlowStart`] and [`CanaryQuota`] are one proxy's parts of bounds that hold over all proxies.
+//! - [`LinkPacer`] spreads large responses over a thin link.
+//!
+//! No I/O; times are milliseconds of a steady clock where nothing else is said.
 
-pub mod bucket;
-pub mod yard;
+#![warn(missing_docs)]
 
-pub use bucket::{Cold, Flow, Share, Tries};
-pub use yard::{Choice, Keyed, Place, Side, Want, Why, Yard};
+mod budgets;
+mod load_balancer;
+mod subset;
+mod upstream;
+
+pub use budgets::{CanaryQuota, LinkPacer, RetryBudget, SlowStart, CANARY_CREDIT};
+pub use load_balancer::{KeyAffinity, LoadBalancer, Pick, PickError, PickRequest};
+pub use subset::{subset, ProxyPosition};
+pub use upstream::{Upstream, VersionClass, EJECTION_MS};
--- /dev/null
+++ b/crates/beechcroft-balancer/tests/load_balancer.rs
@@ -0,0 +1,145 @@
+//! Which endpoint a request goes to.
+
+use beechcroft_balancer::{
+    subset, LoadBalancer, PickError, PickRequest, ProxyPosition, Upstream, VersionClass,
+    EJECTION_MS,
+};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+fn position(index: usize, count: usize) -> ProxyPosition {
+    ProxyPosition { index, count }
+}
+
+fn balancer() -> LoadBalancer {
+    let mut balancer = LoadBalancer::new("west", "w1", 7);
+    for (at, (zone, region)) in [
+        ("w1", "west"),
+        ("w1", "west"),
+        ("w2", "west"),
+        ("e1", "east"),
+    ]
+    .iter()
+    .enumerate()
+    {
+        let mut upstream = Upstream::new(
+            &format!("i-{at}"),
+            "10.0.0.1:80".parse().unwrap(),
+            zone,
+            region,
+            "v1",
+            2,
+        );
+        (upstream.class, upstream.is_available) = (VersionClass::Base, true);
+        balancer.service_mut("s").push(upstream);
+    }
+    balancer
+}
+
+fn want(homes: &[String]) -> PickRequest<'_> {
+    PickRequest {
+        class: VersionClass::Base,
+        home_regions: homes,
+        priority: 0,
+        is_bulk: false,
+        is_placed: false,
+        key: None,
+        tried: &[],
+    }
+}
+
+#[test]
+fn near_endpoints_first_and_far_ones_once_the_near_are_full() {
+    let mut balancer = balancer();
+    let mut sent: BTreeMap<Rc<str>, u32> = BTreeMap::new();
+    for _ in 0..6 {
+        let id = balancer.pick(0, "s", &want(&[])).unwrap().id;
+        balancer.request_started("s", &id);
+        *sent.entry(id).or_default() += 1;
+    }
+    assert!(
+        ["i-0", "i-1", "i-2"].iter().all(|&id| sent[id] == 2),
+        "{sent:?}"
+    );
+    for _ in 0..4 {
+        let id = balancer.pick(0, "s", &want(&[])).unwrap().id;
+        balancer.request_started("s", &id);
+        *sent.entry(id).or_default() += 1;
+    }
+    assert!(sent["i-3"] >= 1, "{sent:?}");
+}
+
+#[test]
+fn subsets_of_all_proxies_cover_endpoints_evenly_and_move_little() {
+    for (edges, count) in [(3, 6), (26, 45), (30, 68), (30, 9), (167, 120)] {
+        let units: Vec<usize> = (0..count).collect();
+        let mut keepers = vec![0; count];
+        for nth in 0..edges {
+            subset(&units, position(nth, edges))
+                .into_iter()
+                .for_each(|unit| keepers[unit] += 1);
+        }
+        let (least, most) = (keepers.iter().min().unwrap(), keepers.iter().max().unwrap());
+        assert!(
+            *least >= 1 && most - least <= 2 + edges / count,
+            "{edges} edges, {count} units: {keepers:?}"
+        );
+        let fewer: Vec<usize> = units
+            .iter()
+            .copied()
+            .filter(|&unit| unit != count / 2)
+            .collect();
+        let moved: usize = (0..edges)
+            .map(|nth| {
+                let before = subset(&units, position(nth, edges));
+                subset(&fewer, position(nth, edges))
+                    .into_iter()
+                    .filter(|unit| !before.contains(unit))
+                    .count()
+            })
+            .sum();
+        assert!(
+            moved <= 2 * edges,
+            "{edges} edges, {count} units: {moved} moved"
+        );
+    }
+}
+
+#[test]
+fn home_regions_bind_and_full_endpoints_reject() {
+    let mut balancer = balancer();
+    let homes = ["east".to_owned()];
+    for _ in 0..6 {
+        let id = balancer.pick(0, "s", &want(&homes)).unwrap().id;
+        assert_eq!(&*id, "i-3");
+        balancer.request_started("s", &id);
+    }
+    assert_eq!(
+        balancer.pick(0, "s", &want(&homes)),
+        Err(PickError::Overloaded)
+    );
+}
+
+#[test]
+fn an_endpoint_that_fails_twice_is_ejected_for_a_while() {
+    let mut balancer = balancer();
+    for _ in 0..2 {
+        balancer.request_started("s", "i-0");
+        balancer.request_ended(0, "s", "i-0", None, Some(true));
+    }
+    assert!((0..100).all(|_| &*balancer.pick(1, "s", &want(&[])).unwrap().id != "i-0"));
+    assert!((0..100).any(|_| &*balancer.pick(EJECTION_MS, "s", &want(&[])).unwrap().id == "i-0"));
+}
+
+#[test]
+fn warming_endpoints_get_their_share_only() {
+    let mut balancer = balancer();
+    for upstream in balancer.service_mut("s") {
+        (upstream.warm_at, upstream.slow_start_rate) = (3000, 2.0);
+    }
+    let mut sent = 0;
+    for now in 0..1000 {
+        sent += u32::from(balancer.pick(now, "s", &want(&[])).is_ok());
+    }
+    assert!((4..=8).contains(&sent), "{sent}");
+}
--- a/crates/beechcroft-config/src/config.rs
+++ b/crates/beechcroft-config/src/config.rs
@@ -1,119 +1,134 @@
-//! A configuration, as the operator sends it, and the checks it has to pass.
+//! A configuration, as the operator sends it, and the checks that it has to pass.
 
 use beechcroft_error::{Error, ErrorKind};
 use garde::Validate;
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::HashSet;
 
+/// A whole configuration. Fields that are not known are skipped.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 #[garde(allow_unvalidated)]
 pub struct Config {
-    #[serde(deserialize_with = "hex")]
+    /// Its version: above that of the one that it builds on.
+    #[serde(deserialize_with = "hexadecimal")]
     #[garde(range(min = 1))]
     pub version: u32,
-    #[serde(deserialize_with = "hex", default)]
+    /// The version that it builds on; 0 for the first.
+    #[serde(deserialize_with = "hexadecimal", default)]
     pub base_version: u32,
+    /// All services.
     #[garde(dive)]
     pub services: Vec<Service>,
+    /// Limits on what clients send.
     #[serde(default)]
     pub limits: Limits,
+    /// All hosts with their routes.
     #[garde(dive)]
-    pub virtual_hosts: Vec<Host>,
+    pub virtual_hosts: Vec<VirtualHost>,
 }
 
-fn hex<'de, D: Deserializer<'de>>(from: D) -> Result<u32, D::Error> {
+/// A number, or its eight hexadecimal digits.
+fn hexadecimal<'de, D: Deserializer<'de>>(from: D) -> Result<u32, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
-    enum Either {
+    enum Version {
         Text(String),
         Number(u32),
     }
-    match Either::deserialize(from)? {
-        Either::Number(number) => Ok(number),
-        Either::Text(text) => u32::from_str_radix(&text, 16).map_err(|_| {
+    match Version::deserialize(from)? {
+        Version::Number(number) => Ok(number),
+        Version::Text(text) => u32::from_str_radix(&text, 16).map_err(|_| {
             serde::de::Error::custom(format!("`{text}` is not eight hexadecimal digits"))
         }),
     }
 }
 
+/// A service: a set of units that answer the same requests.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 #[garde(allow_unvalidated)]
 pub struct Service {
+    /// Its name.
     #[garde(length(min = 1))]
     pub name: String,
+    /// The path of its health checks.
     #[serde(default)]
     pub health_path: String,
-    #[serde(default = "conns")]
+    /// Connections to each of its units at most.
+    #[serde(default = "default_max_conns")]
     pub max_conns: u32,
+    /// How long a unit is slow after its start, in seconds.
     #[serde(default)]
     pub warmup_s: f64,
+    /// Requests a second that a unit bears meanwhile.
     #[serde(default)]
     pub warmup_rate_s: f64,
-    /// Units that a key is usually answered by in each region; 0: keys are not looked at.
+    /// Endpoints that usually serve a key in each region. 0: keys are not looked at.
     #[serde(default)]
     #[garde(range(max = 64))]
     pub usual_places: usize,
-    /// Within so long all units hold what one of them has acknowledged.
+    /// Within so long all units hold what one of them has acknowledged, in milliseconds.
     #[serde(default)]
     #[garde(range(max = 600_000))]
     pub fresh_ms: u64,
-    /// What unfit means for its units; none: each relay goes by its own failures alone.
+    /// When its endpoints are ejected. `None`: each proxy decides by the failures that it sees itself.
     #[garde(dive)]
-    pub unfit: Option<Unfit>,
+    pub unfit: Option<OutlierRules>,
 }
 
-/// What a service calls unfit. A preset, or figures beside one.
+/// When endpoints of a service are ejected: a preset, or figures beside one.
 #[derive(Clone, Debug, Deserialize, Validate)]
-#[serde(from = "UnfitSaid")]
+#[serde(from = "OutlierRulesFields")]
 #[garde(allow_unvalidated)]
-pub struct Unfit {
-    /// Answers later than so many times the route's aim count as bad; 0: late is only late.
+pub struct OutlierRules {
+    /// Responses later than so many times the route's latency target count as bad. 0: late ones do not.
     #[garde(range(min = 0.0, max = 100.0))]
     pub late_times: f64,
-    /// Share of bad answers of an unfit unit.
+    /// The share of bad responses of an unhealthy endpoint.
     #[garde(range(min = 0.02, max = 0.9))]
     pub error_share: f64,
     /// Regions that must see it, of those that see anything.
     #[garde(range(min = 1, max = 16))]
     pub regions: usize,
-    /// Share of the service that is set aside at most.
+    /// The share of the service's endpoints that is ejected at most.
     #[garde(range(min = 0.0, max = 0.9))]
     pub most_aside: f64,
 }
 
+/// Outlier rules as a configuration states them.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct UnfitSaid {
+struct OutlierRulesFields {
     #[serde(default)]
-    preset: Preset,
+    preset: OutlierPreset,
     late_times: Option<f64>,
     error_share: Option<f64>,
     regions: Option<usize>,
     most_aside: Option<f64>,
 }
 
-/// How services usually read it.
+/// The usual rules of a kind of service.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Preset {
-    /// A late answer is a bad one.
+pub enum OutlierPreset {
+    /// A late response is a bad one.
     #[default]
     Lookup,
-    /// Only no answer, or a wrong one, is bad: slow is slow, and gets less.
+    /// Only no response, or a wrong one, is bad. A slow unit gets fewer requests.
     Record,
+    /// As for records.
     Download,
 }
 
-impl From<Preset> for Unfit {
-    fn from(preset: Preset) -> Unfit {
-        let late_times = if matches!(preset, Preset::Lookup) {
+impl From<OutlierPreset> for OutlierRules {
+    fn from(preset: OutlierPreset) -> OutlierRules {
+        let late_times = if matches!(preset, OutlierPreset::Lookup) {
             2.0
         } else {
             0.0
         };
-        Unfit {
+        OutlierRules {
             late_times,
             error_share: 0.25,
             regions: 2,
@@ -122,28 +137,33 @@
     }
 }
 
-impl From<UnfitSaid> for Unfit {
-    fn from(said: UnfitSaid) -> Unfit {
-        let usual = Unfit::from(said.preset);
-        Unfit {
-            late_times: said.late_times.unwrap_or(usual.late_times),
-            error_share: said.error_share.unwrap_or(usual.error_share),
-            regions: said.regions.unwrap_or(usual.regions),
-            most_aside: said.most_aside.unwrap_or(usual.most_aside),
+impl From<OutlierRulesFields> for OutlierRules {
+    fn from(fields: OutlierRulesFields) -> OutlierRules {
+        let preset = OutlierRules::from(fields.preset);
+        OutlierRules {
+            late_times: fields.late_times.unwrap_or(preset.late_times),
+            error_share: fields.error_share.unwrap_or(preset.error_share),
+            regions: fields.regions.unwrap_or(preset.regions),
+            most_aside: fields.most_aside.unwrap_or(preset.most_aside),
         }
     }
 }
 
-fn conns() -> u32 {
+fn default_max_conns() -> u32 {
     64
 }
 
+/// Limits on what clients send, and how long they may take.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Limits {
+    /// Bytes of a request's head.
     pub max_header_bytes: usize,
+    /// Bytes of a request's body.
     pub max_body_bytes: u64,
+    /// For a head to arrive, in milliseconds.
     pub header_timeout_ms: u64,
+    /// For a connection to rest between two requests, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -158,120 +178,118 @@
     }
 }
 
+/// A host with its routes.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 #[garde(allow_unvalidated)]
-pub struct Host {
+pub struct VirtualHost {
+    /// The name in requests, without a port.
     #[garde(length(min = 1))]
     pub hostname: String,
+    /// Its routes. The longest prefix that matches wins.
     #[garde(dive)]
     pub path_rules: Vec<Route>,
 }
 
+/// What the requests of a route do.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteType {
+    /// They may be executed more than once.
     Idempotent,
+    /// They must not be executed more than once.
     NonIdempotent,
+    /// They may be executed more than once, and their responses are large.
     Download,
 }
 
+/// A route: which service requests below a path go to, and how.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 #[garde(allow_unvalidated)]
 pub struct Route {
+    /// Its name.
     pub name: String,
+    /// What its paths begin with.
     #[garde(prefix("/"))]
     pub path_prefix: String,
+    /// What its requests do.
     pub route_type: RouteType,
+    /// For a request to be answered, in milliseconds.
     #[garde(range(min = 1))]
     pub timeout_ms: u64,
+    /// The latency target, in milliseconds.
     #[serde(default)]
     pub target_ms: u64,
+    /// Its priority: 0 is the highest.
     #[serde(default)]
     pub priority: u8,
+    /// The service, if there is one alone.
     pub service: Option<String>,
+    /// Several services, each with its share.
     #[serde(default)]
-    pub split: Vec<Part>,
-    #[serde(default = "once")]
+    pub split: Vec<SplitPart>,
+    /// Units that a request may be sent to at most.
+    #[serde(default = "default_retries")]
     pub retries: u32,
+    /// The regions that may serve it; empty for all.
     #[serde(default)]
     pub home_regions: Vec<String>,
-    /// What a request's key is; the path below the prefix, if this is not there.
+    /// Where a request's key is taken from. `None`: the path below the prefix.
     #[garde(dive)]
-    pub key: Option<KeyPart>,
+    pub key: Option<KeySource>,
 }
 
-/// The part of a request that is its key.
+/// The part of a request that is its key: a segment or a header.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 #[garde(allow_unvalidated)]
-pub struct KeyPart {
+pub struct KeySource {
     /// A segment of the path below the prefix, counted from 1.
     #[garde(inner(range(min = 1, max = 32)))]
     pub segment: Option<usize>,
-    /// A header's value.
+    /// The header whose value it is.
     #[garde(inner(length(min = 1)))]
     pub header: Option<String>,
 }
 
-fn once() -> u32 {
+fn default_retries() -> u32 {
     1
 }
 
+/// A service's share of a route.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Part {
+pub struct SplitPart {
+    /// The service.
     pub service: String,
+    /// Its share: the weight over the sum of all weights.
     pub weight: u32,
 }
 
+fn invalid(detail: impl Into<String>) -> Error {
+    Error::new(ErrorKind::Invalid, detail)
+}
+
 impl Config {
-    /// Reads and checks a body; a fault names the route and what is wrong with it.
+    /// Parses and checks a configuration.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::Invalid`] names the route and what is wrong with it, or the JSON's place.
     pub fn read(body: &[u8]) -> Result<Config, Error> {
-        let invalid = |said: String| Error::new(ErrorKind::Invalid, said);
         let config: Config = serde_json::from_slice(body).map_err(|e| invalid(e.to_string()))?;
-        let names: HashSet<&str> = config.services.iter().map(|s| s.name.as_str()).collect();
+        let services: HashSet<&str> = config
+            .services
+            .iter()
+            .map(|service| service.name.as_str())
+            .collect();
         for route in config
             .virtual_hosts
             .iter()
             .flat_map(|host| &host.path_rules)
         {
-            let wrong = |said: String| invalid(format!("route `{}`: {said}", route.name));
-            if route.timeout_ms == 0 {
-                return Err(wrong("timeoutMs is 0".into()));
-            }
-            if !route.path_prefix.starts_with('/') {
-                return Err(wrong(format!(
-                    "pathPrefix `{}` does not start with a slash",
-                    route.path_prefix
-                )));
-            }
-            if route.service.is_none()
-                && route.split.iter().map(|p| u64::from(p.weight)).sum::<u64>() == 0
-            {
-                return Err(wrong(
-                    "names no service, and the weights of its split sum to 0".into(),
-                ));
-            }
-            if route
-                .key
-                .as_ref()
-                .is_some_and(|key| key.segment.is_some() == key.header.is_some())
-            {
-                return Err(wrong(
-                    "key names neither or both of segment and header".into(),
-                ));
-            }
-            let parts = route.split.iter().map(|part| part.service.as_str());
-            if let Some(name) = route
-                .service
-                .as_deref()
-                .into_iter()
-                .chain(parts)
-                .find(|n| !names.contains(n))
-            {
-                return Err(wrong(format!("service `{name}` is not known")));
-            }
+            let checked = route.check(&services);
+            checked.map_err(|fault| invalid(format!("route `{}`: {fault}", route.name)))?;
         }
         config
             .validate()
@@ -285,3 +303,33 @@
         Ok(config)
     }
 }
+
+impl Route {
+    /// Checks that the route can work with these services; else what is wrong.
+    fn check(&self, services: &HashSet<&str>) -> Result<(), String> {
+        if self.timeout_ms == 0 {
+            return Err("timeoutMs is 0".into());
+        }
+        if !self.path_prefix.starts_with('/') {
+            let prefix = &self.path_prefix;
+            return Err(format!("pathPrefix `{prefix}` does not start with a slash"));
+        }
+        let total_weight: u64 = self.split.iter().map(|part| u64::from(part.weight)).sum();
+        if self.service.is_none() && total_weight == 0 {
+            return Err("names no service, and the weights of its split sum to 0".into());
+        }
+        if self
+            .key
+            .as_ref()
+            .is_some_and(|key| key.segment.is_some() == key.header.is_some())
+        {
+            return Err("key names neither or both of segment and header".into());
+        }
+        let parts = self.split.iter().map(|part| part.service.as_str());
+        let mut named = self.service.as_deref().into_iter().chain(parts);
+        match named.find(|name| !services.contains(name)) {
+            Some(name) => Err(format!("service `{name}` is not known")),
+            None => Ok(()),
+        }
+    }
+}
--- /dev/null
+++ b/crates/beechcroft-consensus/src/epoch.rs
@@ -0,0 +1,115 @@
+//! Epochs: incarnations of a replica's disk, and who holds each replica.
+
+use crate::{NodeId, ReplicaId};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use std::fmt;
+
+/// The incarnation of a replica's disk. It rises when the disk is lost and when another node takes the replica over.
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
+pub struct Epoch(pub u64);
+
+impl Epoch {
+    /// The epoch of every replica when the system starts for the first time.
+    pub const FIRST: Epoch = Epoch(1);
+}
+
+impl fmt::Display for Epoch {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(f, "{}", self.0)
+    }
+}
+
+/// A replica in one of its epochs.
+#[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct ReplicaEpoch {
+    /// The replica.
+    pub replica: ReplicaId,
+    /// The epoch of its disk.
+    pub epoch: Epoch,
+}
+
+/// The latest known epoch of a replica, and the node that holds the replica in it.
+#[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Holder {
+    /// The latest epoch known. All earlier ones are fenced.
+    pub epoch: Epoch,
+    /// The machine that votes for the replica in that epoch.
+    pub node: NodeId,
+}
+
+/// What a node knows of the epochs of all replicas. Merging is commutative, associative and idempotent.
+#[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Epochs(BTreeMap<ReplicaId, Holder>);
+
+impl Epochs {
+    /// No replica is known.
+    pub fn new() -> Epochs {
+        Epochs::default()
+    }
+
+    /// The epochs at the first start: each replica is held by the node that it is named after.
+    pub fn initial(replicas: &[ReplicaId]) -> Epochs {
+        let holder = |replica: &ReplicaId| Holder {
+            epoch: Epoch::FIRST,
+            node: replica.clone(),
+        };
+        replicas
+            .iter()
+            .map(|replica| (replica.clone(), holder(replica)))
+            .collect()
+    }
+
+    /// The latest epoch and holder known of a replica.
+    pub fn get(&self, replica: &str) -> Option<&Holder> {
+        self.0.get(replica)
+    }
+
+    /// The latest epoch known of a replica; the default epoch, below all others, if none is.
+    pub fn latest(&self, replica: &str) -> Epoch {
+        self.get(replica)
+            .map_or(Epoch::default(), |known| known.epoch)
+    }
+
+    /// The node that holds a replica. Where nothing is known it is the node that the replica is named after.
+    pub fn holder(&self, replica: &str) -> NodeId {
+        self.get(replica)
+            .map_or_else(|| replica.to_owned(), |known| known.node.clone())
+    }
+
+    /// Whether a later epoch of the replica is known: what the earlier one promised or accepted may be lost.
+    pub fn is_fenced(&self, replica: &str, epoch: Epoch) -> bool {
+        self.latest(replica) > epoch
+    }
+
+    /// Takes over what another node knows; whether any of it was new.
+    pub fn merge(&mut self, other: &Epochs) -> bool {
+        let mut is_changed = false;
+        for (replica, theirs) in &other.0 {
+            let known = self.0.entry(replica.clone()).or_default();
+            if known.epoch < theirs.epoch {
+                known.clone_from(theirs);
+                is_changed = true;
+            }
+        }
+        is_changed
+    }
+
+    /// Each replica with its latest epoch and holder.
+    pub fn iter(&self) -> impl Iterator<Item = (&ReplicaId, &Holder)> {
+        self.0.iter()
+    }
+
+    /// Forgets everything.
+    pub fn clear(&mut self) {
+        self.0.clear();
+    }
+}
+
+impl FromIterator<(ReplicaId, Holder)> for Epochs {
+    fn from_iter<I: IntoIterator<Item = (ReplicaId, Holder)>>(holders: I) -> Epochs {
+        Epochs(holders.into_iter().collect())
+    }
+}
--- a/crates/beechcroft-consensus/src/lib.rs
+++ b/crates/beechcroft-consensus/src/lib.rs
@@ -1,47 +1,59 @@
-//! The control state, agreed by ballots among a majority of the core. There is no standing leader: whichever
-//! core machine an order reaches runs a round. No I/O: events in, actions out.
+//! Consensus on the control state: single-decree Paxos, run again for each change of a register.
 //!
-//! Two registers are agreed apart from each other: [`CONFIG`], the operator's configuration with the list of
-//! voters, and [`ORDERS`], rollouts with their stages, evacuations and the versions that services run. A
-//! register holds one value; a round reads the newest accepted one from a majority, applies the orders that
-//! wait to it, and has the result accepted by a majority under its ballot. What a majority has accepted is
-//! chosen, whatever is lost afterwards. An order that finds nothing to change is still confirmed by a round, so
-//! that its answer speaks of a chosen value.
+//! There is no standing leader: whichever control node an operation reaches runs a round. A control node drives two
+//! state machines of this package, neither of which does any I/O; time and messages go in, messages and records to
+//! sync come out:
 //!
-//! A voter's disk that is lost takes promises with it. Each disk has an epoch; [`Voter`] says how an empty one
-//! comes to vote again, and why no round may stand on what its former epoch promised.
-
-pub mod bytes;
-pub mod proposer;
-pub mod state;
-pub mod voter;
+//! - [`Proposer`] runs this node's rounds. It takes an [`Event`] and gives [`Action`]s.
+//! - [`Acceptor`] is this node's replica. It takes a [`Request`] and gives a [`Response`] with the [`Records`] that
+//!   must be synced before the response is sent.
+//!
+//! # Registers
+//!
+//! Two registers are agreed on independently ([`RegisterId`]): the operator's configuration ([`ConfigStore`]), and
+//! rollouts, evacuations, base versions and placements ([`OperationsState`]). A round reads the newest accepted
+//! [`Value`] from a majority, applies the pending operations to it, and has a majority accept the result under the
+//! round's [`Ballot`]. A value that a majority accepted is chosen and survives any tolerated loss. An operation that
+//! changes nothing is confirmed by a round as well, so that its outcome is always based on a chosen value.
+//!
+//! # Lost disks
+//!
+//! A replica that loses its disk loses its promises. Each incarnation of a replica's disk has an [`Epoch`]. An empty
+//! replica fences its former epoch at the others before it votes again; [`Acceptor`] describes how, and why no round
+//! can rely on a promise of the former epoch.
+//!
+//! The argument for safety is in `docs/design/consensus.md`. Phases and names follow Lamport, "Paxos Made Simple"
+//! (2001), sections 2.2 and 2.3.
 
-pub use proposer::{Action, Answer, Event, Proposer};
-pub use state::{ConfigStore, Op, Orders, Placement, Rollout, Stage};
-pub use voter::{Ask, Epochs, Identity, Reply, Voter};
+#![warn(missing_docs)]
 
-use serde::{Deserialize, Serialize};
+mod acceptor;
+mod config_store;
+pub mod encoding;
+mod epoch;
+mod message;
+mod operation;
+mod operations_state;
+mod proposer;
+mod recovery;
+mod register;
+mod round;
 
-/// The register of the configuration.
-pub const CONFIG: usize = 0;
-/// The register of rollouts and evacuations.
-pub const ORDERS: usize = 1;
+pub use acceptor::{Acceptor, Record, Records, ReplicaIdentity, UnreadableRecord};
+pub use config_store::ConfigStore;
+pub use epoch::{Epoch, Epochs, Holder, ReplicaEpoch};
+pub use message::{PromisedValue, Request, Response};
+pub use operation::{Digest, Operation};
+pub use operations_state::{Admission, OperationsState, Placement, Rollout, Stage};
+pub use proposer::{Action, Event, LocalAccepted, Outcome, ProposalId, Proposer};
+pub use register::{AcceptedValue, Ballot, PerRegister, Register, RegisterId, Revision, Value};
 
-/// Orders rounds. The nonce is drawn anew by each process, so that no two rounds share a ballot.
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
-)]
-pub struct Ballot {
-    pub count: u64,
-    pub nonce: u64,
-}
+/// Milliseconds of a node's own steady clock.
+pub type Millis = u64;
 
-/// A register's value: how often it has changed, and its bytes.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Value {
-    pub revision: u64,
-    pub bytes: Vec<u8>,
-}
+/// The name of a machine, as its settings state it.
+pub type NodeId = String;
 
-/// A voter's name and the epoch of its disk.
-pub type VoterEpoch = (String, u64);
+/// The name of a replica: one of the 2f + 1 seats of the quorum. It is named after the node that held it first and
+/// keeps its name when another node takes it over.
+pub type ReplicaId = String;
--- a/crates/beechcroft-consensus/src/proposer.rs
+++ b/crates/beechcroft-consensus/src/proposer.rs
@@ -1,500 +1,494 @@
-//! Rounds of ballots: how an order becomes part of a chosen value.
+//! The proposer: how a pending operation becomes part of a chosen value.
 
-use crate::voter::{Ask, Epochs, Reply};
-use crate::{Ballot, ConfigStore, Op, Orders, Value, VoterEpoch, CONFIG, ORDERS};
+use crate::round::{AppliedOperation, Round};
+use crate::{
+    AcceptedValue, Ballot, ConfigStore, Millis, Operation, OperationsState, PerRegister,
+    RegisterId, ReplicaId, Request, Response, Value,
+};
 use beechcroft_error::{Error, ErrorKind};
 use beechcroft_safeguards::Safeguard;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::VecDeque;
 
-/// A round that has not ended by then is begun anew.
-const ROUND_MS: u64 = 1200;
-
-/// The pause after a round that met another is drawn from up to twice this, doubled with each further one.
-const BACKOFF_MS: u64 = 30;
+/// A round that has not ended after so long is given up and started again.
+const ROUND_TIMEOUT_MS: Millis = 1200;
+/// The pause after a round that conflicted with another one is drawn from this to the limit below.
+const BACKOFF_MIN_MS: Millis = 5;
+/// The limit of the pause before the first conflict. It doubles with each conflict in a row.
+const BACKOFF_BASE_MS: Millis = 30;
+/// How often the limit doubles at most.
 const BACKOFF_DOUBLINGS: u32 = 6;
 
-/// The order, as its caller numbers it.
-pub type OrderId = u64;
+/// The number that the caller gives to an operation.
+pub type ProposalId = u64;
 
+/// What happens to a proposer.
 #[derive(Debug)]
 pub enum Event {
-    /// `until`: by then it has entered a round, or enters none.
-    Order {
-        id: OrderId,
-        register: usize,
-        op: Op,
-        until: u64,
+    /// An operation is to be made part of a register's value.
+    Propose {
+        /// The caller's number for it.
+        id: ProposalId,
+        /// The register that it changes.
+        register: RegisterId,
+        /// The operation.
+        operation: Operation,
+        /// By then it has entered a round, or it fails with [`ErrorKind::NoQuorum`].
+        deadline: Millis,
     },
-    /// Nobody waits for the order any more.
-    Withdrawn {
-        id: OrderId,
+    /// Nobody waits for the operation any more.
+    Cancel {
+        /// Its number.
+        id: ProposalId,
     },
-    Reply {
-        from: String,
-        register: usize,
+    /// An acceptor has responded.
+    Response {
+        /// The replica that was addressed.
+        from: ReplicaId,
+        /// The register of the request.
+        register: RegisterId,
+        /// The ballot of the request.
         ballot: Ballot,
-        reply: Reply,
+        /// The response.
+        response: Response,
     },
+    /// Time has passed.
     Tick,
 }
 
-/// What a machine's own voter has accepted in a register.
-pub type Own<'a> = dyn Fn(usize) -> Option<(Ballot, Value)> + 'a;
+/// Looks up what this node's own acceptor has accepted in a register.
+pub type LocalAccepted<'a> = dyn Fn(RegisterId) -> Option<AcceptedValue> + 'a;
 
-/// How an order ended.
-pub type Answer = Result<Value, Error>;
+/// The outcome of an operation: the chosen value that it is based on, or why it failed.
+pub type Outcome = Result<Value, Error>;
 
+/// What a proposer asks of its owner.
 #[derive(Debug)]
 pub enum Action {
-    /// To these voters; this machine may be among them.
-    Ask {
-        to: Vec<String>,
-        ask: Ask,
+    /// Send a request.
+    Send {
+        /// To the holders of these replicas; this node may be one of them.
+        to: Vec<ReplicaId>,
+        /// The request.
+        request: Request,
     },
-    Answer {
-        id: OrderId,
-        answer: Answer,
+    /// An operation has ended.
+    Complete {
+        /// Its number.
+        id: ProposalId,
+        /// How it ended.
+        outcome: Outcome,
     },
     /// A value is chosen.
     Chosen {
-        register: usize,
+        /// The register.
+        register: RegisterId,
+        /// Its new value.
         value: Value,
     },
 }
 
+/// An operation that waits for a round, or is carried by one.
 #[derive(Clone, Debug)]
-struct Waiting {
-    id: OrderId,
-    op: Op,
-    until: u64,
+pub(crate) struct PendingOperation {
+    pub(crate) id: ProposalId,
+    pub(crate) operation: Operation,
+    pub(crate) deadline: Millis,
 }
 
-/// The orders that a round carries, with their outcome if it ends well.
-type Carried = Vec<(Waiting, Result<(), Error>)>;
+/// A register's queue and round.
+#[derive(Clone, Debug, Default)]
+struct Pipeline {
+    /// Operations that wait for a round, oldest first.
+    queue: VecDeque<PendingOperation>,
+    /// Invariant: at most one round per register is under way.
+    round: Option<Round>,
+    /// No round starts before this time.
+    retry_at: Millis,
+    /// Rounds in a row that ended without result.
+    conflicts: u32,
+    /// The revision of the latest value that this proposer had chosen.
+    chosen: crate::Revision,
+}
 
-#[derive(Clone, Debug)]
-struct Round {
-    ballot: Ballot,
-    began: u64,
-    /// Who has promised: the epoch of its disk, and under which ballot it accepted last.
-    promises: BTreeMap<String, (u64, Ballot)>,
-    best: Option<(Ballot, Value)>,
-    /// What this machine's own voter had accepted as the round began: others need not send it.
-    have: Option<(Ballot, Value)>,
-    /// Once promises of a majority are there: the value and who has accepted it.
-    offered: Option<(Value, BTreeMap<String, u64>)>,
-    /// Epochs that voters told of with their answers.
-    epochs: Epochs,
-    refusals: BTreeSet<String>,
-    carried: Carried,
+/// What a response has decided about a round.
+enum Progress {
+    /// A majority has promised.
+    Promised,
+    /// A majority has accepted.
+    Accepted,
+    /// So many have rejected that the rest is no majority.
+    Rejected,
 }
 
-#[derive(Clone, Debug, Default)]
-struct Side {
-    queue: VecDeque<Waiting>,
-    round: Option<Round>,
-    not_before: u64,
-    tries: u32,
-    chosen: u64,
+/// The decoded contents of a register.
+enum Contents {
+    Config(ConfigStore),
+    Operations(OperationsState),
 }
 
-/// Applies the orders that wait, each with its outcome; whether any changed the value.
-fn carry(
-    queue: VecDeque<Waiting>,
-    mut apply: impl FnMut(&Op) -> Result<bool, Error>,
-) -> (Carried, bool) {
-    let mut changed = false;
-    let carried = queue.into_iter().map(|waiting| {
-        let outcome = apply(&waiting.op);
-        changed |= matches!(outcome, Ok(true));
-        (waiting, outcome.map(drop))
-    });
-    (carried.collect(), changed)
+impl Contents {
+    fn decode(register: RegisterId, value: &Value) -> Result<Contents, Error> {
+        match register {
+            RegisterId::Config => ConfigStore::decode(value).map(Contents::Config),
+            RegisterId::Operations => OperationsState::decode(value).map(Contents::Operations),
+        }
+    }
+
+    fn apply(&mut self, operation: &Operation, rng: &mut Pcg64Mcg) -> Result<bool, Error> {
+        match self {
+            Contents::Config(store) => store.apply(operation),
+            Contents::Operations(state) => state.apply(operation, rng),
+        }
+    }
+
+    fn encode(&self) -> Vec<u8> {
+        match self {
+            Contents::Config(store) => store.encode(),
+            Contents::Operations(state) => state.encode(),
+        }
+    }
 }
 
-/// Runs this machine's rounds, one at a time for each register.
+/// Runs this node's rounds, one at a time for each register.
 #[derive(Clone, Debug)]
 pub struct Proposer {
-    voters: Vec<String>,
+    replicas: Vec<ReplicaId>,
     nonce: u64,
-    count: u64,
+    /// The highest ballot number used or seen.
+    highest_number: u64,
     rng: Pcg64Mcg,
-    sides: [Side; 2],
+    pipelines: PerRegister<Pipeline>,
 }
 
 impl Proposer {
+    /// A proposer that knows no replicas yet. `salt` is drawn by each process.
     pub fn new(salt: u64) -> Proposer {
         let mut rng = Pcg64Mcg::seed_from_u64(salt);
         let nonce = rng.random();
         Proposer {
-            voters: Vec::new(),
+            replicas: Vec::new(),
             nonce,
-            count: 0,
+            highest_number: 0,
             rng,
-            sides: Default::default(),
+            pipelines: PerRegister::default(),
         }
     }
 
-    pub fn voters(&mut self, voters: &[String], highest: u64) {
-        self.voters = voters.to_vec();
-        self.count = self.count.max(highest);
+    /// Sets the replicas that rounds address. `highest_number`: the highest ballot number that this node has seen.
+    pub fn set_replicas(&mut self, replicas: &[ReplicaId], highest_number: u64) {
+        self.replicas = replicas.to_vec();
+        self.highest_number = self.highest_number.max(highest_number);
     }
 
     fn majority(&self) -> usize {
-        self.voters.len() / 2 + 1
+        self.replicas.len() / 2 + 1
     }
 
-    /// `own`: what this machine's own voter has accepted in a register.
-    pub fn on(&mut self, now: u64, event: Event, own: &Own, out: &mut Vec<Action>) {
+    /// Handles an event. `local` looks up what this node's own acceptor has accepted.
+    pub fn step(
+        &mut self,
+        now: Millis,
+        event: Event,
+        local: &LocalAccepted,
+        actions: &mut Vec<Action>,
+    ) {
         match event {
-            Event::Order {
+            Event::Propose {
                 id,
                 register,
-                op,
-                until,
+                operation,
+                deadline,
             } => {
-                self.sides[register]
-                    .queue
-                    .push_back(Waiting { id, op, until });
-                self.begin(now, register, own, out);
-            }
-            Event::Withdrawn { id } => {
-                // One that was offered is on its way and may be chosen. It is offered under no further ballot.
-                for side in &mut self.sides {
-                    side.queue.retain(|waiting| waiting.id != id);
-                    for (waiting, _) in side.round.iter_mut().flat_map(|round| &mut round.carried) {
-                        if waiting.id == id {
-                            waiting.until = 0;
-                        }
-                    }
-                }
+                let pending = PendingOperation {
+                    id,
+                    operation,
+                    deadline,
+                };
+                self.pipelines[register].queue.push_back(pending);
+                self.begin_round(now, register, local, actions);
             }
-            Event::Reply {
+            Event::Cancel { id } => self.cancel(id),
+            Event::Response {
                 from,
                 register,
                 ballot,
-                reply,
+                response,
             } => {
-                self.reply(now, &from, register, ballot, reply, out);
-                self.begin(now, register, own, out);
+                self.on_response(now, &from, (register, ballot), response, actions);
+                self.begin_round(now, register, local, actions);
             }
             Event::Tick => {
-                for register in [CONFIG, ORDERS] {
-                    self.expire(now, register, out);
-                    self.begin(now, register, own, out);
+                for register in RegisterId::ALL {
+                    self.expire_round(now, register);
+                    self.expire_pending(now, register, actions);
+                    self.begin_round(now, register, local, actions);
                 }
             }
         }
     }
 
-    /// Gives up what has waited too long, and rounds that hang.
-    fn expire(&mut self, now: u64, register: usize, out: &mut Vec<Action>) {
-        let side = &mut self.sides[register];
-        if side
-            .round
-            .as_ref()
-            .is_some_and(|round| now.saturating_sub(round.began) > ROUND_MS)
-        {
-            self.give_up(now, register);
+    /// An operation that is part of a proposed value may still be chosen; it is proposed under no further ballot.
+    fn cancel(&mut self, id: ProposalId) {
+        for pipeline in self.pipelines.values_mut() {
+            pipeline.queue.retain(|pending| pending.id != id);
+            let batch = pipeline.round.iter_mut().flat_map(|round| &mut round.batch);
+            for applied in batch.filter(|applied| applied.pending.id == id) {
+                applied.pending.deadline = 0;
+            }
         }
-        self.drop_late(now, register, out);
     }
 
-    /// Orders whose time is over enter no round any more. They may still be part of what an earlier round of theirs offered.
-    fn drop_late(&mut self, now: u64, register: usize, out: &mut Vec<Action>) {
-        self.sides[register].queue.retain(|waiting| {
-            let keep = waiting.until > now;
-            if !keep {
-                let fault = Error::new(
-                    ErrorKind::NoQuorum,
-                    "no majority of the core answered in time",
-                );
-                out.push(Action::Answer {
-                    id: waiting.id,
-                    answer: Err(fault),
+    /// Gives up a round that hangs.
+    fn expire_round(&mut self, now: Millis, register: RegisterId) {
+        let round = self.pipelines[register].round.as_ref();
+        if round.is_some_and(|round| now.saturating_sub(round.started_at) > ROUND_TIMEOUT_MS) {
+            self.abandon_round(now, register);
+        }
+    }
+
+    /// Operations past their deadline enter no round any more. An earlier round may still have them chosen.
+    fn expire_pending(&mut self, now: Millis, register: RegisterId, actions: &mut Vec<Action>) {
+        self.pipelines[register].queue.retain(|pending| {
+            let is_due = pending.deadline > now;
+            if !is_due {
+                let detail = "no majority of the control nodes answered in time";
+                let outcome = Err(Error::new(ErrorKind::NoQuorum, detail));
+                actions.push(Action::Complete {
+                    id: pending.id,
+                    outcome,
                 });
             }
-            keep
+            is_due
         });
     }
 
-    /// Ends a round without result; what it carried waits again, in its order.
-    fn give_up(&mut self, now: u64, register: usize) {
-        let side = &mut self.sides[register];
-        if let Some(round) = side.round.take() {
-            for (waiting, _) in round.carried.into_iter().rev() {
-                side.queue.push_front(waiting);
+    /// Ends a round without result; its operations wait again, in their order.
+    fn abandon_round(&mut self, now: Millis, register: RegisterId) {
+        let pipeline = &mut self.pipelines[register];
+        if let Some(round) = pipeline.round.take() {
+            for applied in round.batch.into_iter().rev() {
+                pipeline.queue.push_front(applied.pending);
             }
         }
-        side.tries += 1;
-        // A round takes several ways of a message: the more often rounds met, the further apart they go.
-        let most = BACKOFF_MS << side.tries.min(BACKOFF_DOUBLINGS);
-        side.not_before = now + self.rng.random_range(5..most);
+        pipeline.conflicts += 1;
+        // A round takes two round trips: the more often rounds conflict, the further apart they are retried.
+        let limit = BACKOFF_BASE_MS << pipeline.conflicts.min(BACKOFF_DOUBLINGS);
+        pipeline.retry_at = now + self.rng.random_range(BACKOFF_MIN_MS..limit);
     }
 
-    fn begin(&mut self, now: u64, register: usize, own: &Own, out: &mut Vec<Action>) {
-        let side = &mut self.sides[register];
-        if self.voters.is_empty()
-            || side.round.is_some()
-            || side.queue.is_empty()
-            || now < side.not_before
-        {
+    /// Begins a round if operations wait and none is under way.
+    fn begin_round(
+        &mut self,
+        now: Millis,
+        register: RegisterId,
+        local: &LocalAccepted,
+        actions: &mut Vec<Action>,
+    ) {
+        let pipeline = &mut self.pipelines[register];
+        let is_idle = pipeline.round.is_none() && now >= pipeline.retry_at;
+        if self.replicas.is_empty() || pipeline.queue.is_empty() || !is_idle {
             return;
         }
-        self.count += 1;
+        self.highest_number += 1;
         let ballot = Ballot {
-            count: self.count,
+            number: self.highest_number,
             nonce: self.nonce,
         };
-        let have = own(register);
-        let under = have
+        let accepted = local(register);
+        let known = accepted
             .as_ref()
-            .map_or(Ballot::default(), |(ballot, _)| *ballot);
-        side.round = Some(Round {
+            .map_or(Ballot::default(), |accepted| accepted.ballot);
+        pipeline.round = Some(Round::new(ballot, now, accepted));
+        let request = Request::Prepare {
+            register,
             ballot,
-            began: now,
-            promises: BTreeMap::new(),
-            best: None,
-            have,
-            offered: None,
-            epochs: Epochs::new(),
-            refusals: BTreeSet::new(),
-            carried: Vec::new(),
-        });
-        let to = self.voters.clone();
-        out.push(Action::Ask {
-            to,
-            ask: Ask::Prepare {
-                register,
-                ballot,
-                have: under,
-            },
+            known,
+        };
+        actions.push(Action::Send {
+            to: self.replicas.clone(),
+            request,
         });
     }
 
-    fn reply(
+    fn on_response(
         &mut self,
-        now: u64,
+        now: Millis,
         from: &str,
-        register: usize,
-        ballot: Ballot,
-        reply: Reply,
-        out: &mut Vec<Action>,
+        (register, ballot): (RegisterId, Ballot),
+        response: Response,
+        actions: &mut Vec<Action>,
     ) {
-        if let Reply::Refused { promised, .. } = &reply {
-            self.count = self.count.max(promised.count);
+        if let Response::Rejected { promised, .. } = &response {
+            self.highest_number = self.highest_number.max(promised.number);
         }
-        let (majority, all) = (self.majority(), self.voters.len());
-        if !self.voters.iter().any(|voter| voter == from) {
+        if !self.replicas.iter().any(|replica| replica == from) {
             return;
         }
-        let Some(round) = self.sides[register]
-            .round
-            .as_mut()
-            .filter(|round| round.ballot == ballot)
-        else {
+        let (majority, all) = (self.majority(), self.replicas.len());
+        let round = self.pipelines[register].round.as_mut();
+        let Some(round) = round.filter(|round| round.ballot == ballot) else {
             return;
         };
-        // Whoever asks may not know that a machine holds another membership by now: what it says counts for that one alone,
-        // however often it is asked.
-        let speaker = |voter_id: String| {
-            if Safeguard::ResponderReplica.is_enabled() {
-                voter_id
-            } else {
-                from.to_owned()
-            }
+        // The proposer may not know that a node holds another replica by now. A response counts for that one alone,
+        // however often the node is asked.
+        let responder = |replica: ReplicaId| match Safeguard::ResponderReplica.is_enabled() {
+            true => replica,
+            false => from.to_owned(),
         };
-        match (reply, &mut round.offered) {
-            (
-                Reply::Promise {
-                    voter_id,
-                    epoch,
-                    accepted,
-                },
-                None,
-            ) => {
-                let under = accepted
-                    .as_ref()
-                    .map_or(Ballot::default(), |(ballot, _)| *ballot);
-                let value = match accepted {
-                    None => None,
-                    Some((_, Some(value))) => Some(value),
-                    Some((under, None)) => match &round.have {
-                        Some((have, value)) if *have == under => Some(value.clone()),
-                        _ => return, // it says that we have what we have not
-                    },
-                };
-                round.promises.insert(speaker(voter_id), (epoch, under));
-                if value.is_some() && round.best.as_ref().is_none_or(|best| under > best.0) {
-                    round.best = value.map(|value| (under, value));
-                }
-                if round.promises.len() >= majority {
-                    self.offer(now, register, out);
-                }
+        let progress = match response {
+            Response::Promise {
+                replica,
+                epoch,
+                accepted,
+            } if round.proposal.is_none() => {
+                let promises = round.record_promise(responder(replica), epoch, accepted);
+                (promises >= majority).then_some(Progress::Promised)
             }
-            (
-                Reply::Accepted {
-                    voter_id,
-                    epoch,
-                    epochs,
-                },
-                Some((_, accepted)),
-            ) => {
-                accepted.insert(speaker(voter_id), epoch);
-                for (voter_id, known) in epochs {
-                    let held = round.epochs.entry(voter_id).or_default();
-                    if held.0 < known.0 {
-                        *held = known;
-                    }
-                }
-                // What a membership's former epoch has accepted is lost with it. Any majority has a voter that was asked to
-                // fence that epoch, so one of these answers tells of the later one.
-                let epochs = &round.epochs;
-                let counts = |(voter_id, epoch): &(&String, &u64)| {
-                    !Safeguard::FencedAcceptances.is_enabled()
-                        || epochs.get(*voter_id).is_none_or(|known| known.0 <= **epoch)
-                };
-                if accepted.iter().filter(counts).count() >= majority {
-                    self.choose(register, out);
-                }
+            Response::Accepted {
+                replica,
+                epoch,
+                epochs,
+            } if round.proposal.is_some() => {
+                let acceptances = round.record_acceptance(responder(replica), epoch, &epochs);
+                (acceptances >= majority).then_some(Progress::Accepted)
             }
-            (Reply::Refused { .. } | Reply::Learner, _) => {
-                round.refusals.insert(from.to_owned());
-                if round.refusals.len() > all - majority {
-                    self.give_up(now, register);
-                }
+            Response::Rejected { .. } | Response::Learner => {
+                let rejections = round.record_rejection(from);
+                (rejections > all - majority).then_some(Progress::Rejected)
             }
-            _ => {}
+            _ => None,
+        };
+        match progress {
+            Some(Progress::Promised) => self.propose(now, register, actions),
+            Some(Progress::Accepted) => self.complete_round(register, actions),
+            Some(Progress::Rejected) => self.abandon_round(now, register),
+            None => {}
         }
     }
 
-    /// A majority has promised: applies the orders to the newest accepted value and offers the result.
-    fn offer(&mut self, now: u64, register: usize, out: &mut Vec<Action>) {
+    /// A majority has promised: applies the pending operations to the newest accepted value and proposes the result.
+    fn propose(&mut self, now: Millis, register: RegisterId, actions: &mut Vec<Action>) {
         if Safeguard::UnconditionalDeadline.is_enabled() {
-            self.drop_late(now, register, out);
+            self.expire_pending(now, register, actions);
         }
-        let side = &mut self.sides[register];
-        let Some(round) = side.round.as_mut() else {
+        let Proposer {
+            pipelines,
+            rng,
+            replicas,
+            ..
+        } = self;
+        let pipeline = &mut pipelines[register];
+        let Some(round) = pipeline.round.as_mut() else {
             return;
         };
-        let (under, held) = round.best.take().unwrap_or_default();
-        let queue = std::mem::take(&mut side.queue);
-        let applied = if register == CONFIG {
-            match ConfigStore::decode(&held) {
-                Ok(mut store) => {
-                    let (carried, changed) = carry(queue, |op| store.apply(op));
-                    Ok((carried, changed.then(|| store.encode())))
-                }
-                Err(fault) => Err((queue, fault)),
-            }
-        } else {
-            match Orders::decode(&held) {
-                Ok(mut orders) => {
-                    let (carried, changed) = carry(queue, |op| orders.apply(op, &mut self.rng));
-                    Ok((carried, changed.then(|| orders.encode())))
-                }
-                Err(fault) => Err((queue, fault)),
-            }
-        };
-        let bytes = match applied {
-            Ok((carried, bytes)) => {
-                round.carried = carried;
-                bytes
-            }
-            // What cannot be read is left as it is: nothing is put in its place.
-            Err((queue, fault)) => {
-                side.round = None;
-                side.not_before = now + ROUND_MS;
-                let answers = queue
-                    .into_iter()
-                    .map(|waiting| (waiting.id, Err(fault.clone())));
-                out.extend(answers.map(|(id, answer)| Action::Answer { id, answer }));
-                return;
-            }
-        };
-        let changed = bytes.is_some();
-        let value = match bytes {
-            Some(bytes) => Value {
-                revision: held.revision + 1,
-                bytes,
-            },
-            None => held,
+        let newest = round.highest_accepted.take().unwrap_or_default();
+        let mut contents = match Contents::decode(register, &newest.value) {
+            Ok(contents) => contents,
+            Err(error) => return pipeline.fail_pending(now, &error, actions),
         };
-        let quorum: Vec<VoterEpoch> = round
-            .promises
-            .iter()
-            .map(|(name, &(epoch, _))| (name.clone(), epoch))
-            .collect();
-        round.offered = Some((value.clone(), BTreeMap::new()));
-        if !Safeguard::CommittedRejections.is_enabled() {
-            let refused = round.carried.iter().filter_map(|(waiting, outcome)| {
-                Some(Action::Answer {
-                    id: waiting.id,
-                    answer: Err(outcome.clone().err()?),
-                })
+        let mut is_changed = false;
+        for pending in pipeline.queue.drain(..) {
+            let result = contents.apply(&pending.operation, rng);
+            is_changed |= matches!(result, Ok(true));
+            round.batch.push(AppliedOperation {
+                pending,
+                result: result.map(drop),
             });
-            out.extend(refused);
         }
-        let ballot = round.ballot;
-        // Whoever holds the very value, as nothing changes, is only told so.
-        let holds = |voter: &String| {
-            !changed
-                && under != Ballot::default()
-                && round
-                    .promises
-                    .get(voter)
-                    .is_some_and(|&(_, of)| of == under)
+        if !Safeguard::CommittedRejections.is_enabled() {
+            actions.extend(early_rejections(&round.batch));
+        }
+        let value = match is_changed {
+            true => Value {
+                revision: newest.value.revision.next(),
+                bytes: contents.encode(),
+            },
+            false => newest.value,
         };
-        let (holders, others): (Vec<String>, Vec<String>) =
-            self.voters.iter().cloned().partition(holds);
+        round.propose(value.clone());
+        let (ballot, quorum) = (round.ballot, round.quorum());
+        // Replicas that hold this very value, where nothing changes, need not be sent it again.
+        let holds_value = |replica: &ReplicaId| {
+            !is_changed && newest.ballot != Ballot::default() && round.holds(replica, newest.ballot)
+        };
+        let (holders, others): (Vec<ReplicaId>, Vec<ReplicaId>) =
+            replicas.iter().cloned().partition(holds_value);
         if !holders.is_empty() {
-            let ask = Ask::Confirm {
+            let (accepted, quorum) = (newest.ballot, quorum.clone());
+            let request = Request::Confirm {
                 register,
                 ballot,
-                of: under,
-                quorum: quorum.clone(),
+                accepted,
+                quorum,
             };
-            out.push(Action::Ask { to: holders, ask });
+            actions.push(Action::Send {
+                to: holders,
+                request,
+            });
         }
         if !others.is_empty() {
-            out.push(Action::Ask {
+            let request = Request::Accept {
+                register,
+                ballot,
+                value,
+                quorum,
+            };
+            actions.push(Action::Send {
                 to: others,
-                ask: Ask::Accept {
-                    register,
-                    ballot,
-                    value,
-                    quorum,
-                },
+                request,
             });
         }
     }
 
-    /// A majority has accepted.
-    fn choose(&mut self, register: usize, out: &mut Vec<Action>) {
-        let side = &mut self.sides[register];
+    /// A majority has accepted: the value is chosen.
+    fn complete_round(&mut self, register: RegisterId, actions: &mut Vec<Action>) {
+        let pipeline = &mut self.pipelines[register];
         let Some(Round {
-            offered: Some((value, _)),
-            carried,
+            proposal: Some(proposal),
+            batch,
             ..
-        }) = side.round.take()
+        }) = pipeline.round.take()
         else {
             return;
         };
-        side.tries = 0;
-        if value.revision > side.chosen {
-            side.chosen = value.revision;
-            out.push(Action::Chosen {
+        let value = proposal.value;
+        pipeline.conflicts = 0;
+        if value.revision > pipeline.chosen {
+            pipeline.chosen = value.revision;
+            actions.push(Action::Chosen {
                 register,
                 value: value.clone(),
             });
         }
-        for (waiting, outcome) in carried {
-            out.push(Action::Answer {
-                id: waiting.id,
-                answer: outcome.map(|()| value.clone()),
-            });
-        }
+        actions.extend(batch.into_iter().map(|applied| Action::Complete {
+            id: applied.pending.id,
+            outcome: applied.result.map(|()| value.clone()),
+        }));
     }
 }
+
+impl Pipeline {
+    /// The newest value cannot be decoded. It is left as it is: nothing is put in its place.
+    fn fail_pending(&mut self, now: Millis, error: &Error, actions: &mut Vec<Action>) {
+        self.round = None;
+        self.retry_at = now + ROUND_TIMEOUT_MS;
+        let failed = self.queue.drain(..);
+        actions.extend(failed.map(|pending| Action::Complete {
+            id: pending.id,
+            outcome: Err(error.clone()),
+        }));
+    }
+}
+
+/// Rejections before the value that they are based on is chosen: only with that safeguard disabled.
+fn early_rejections(batch: &[AppliedOperation]) -> impl Iterator<Item = Action> + '_ {
+    batch.iter().filter_map(|applied| {
+        let error = applied.result.clone().err()?;
+        Some(Action::Complete {
+            id: applied.pending.id,
+            outcome: Err(error),
+        })
+    })
+}
--- a/crates/beechcroft-control/src/disk.rs
+++ b/crates/beechcroft-control/src/disk.rs
@@ -1,7 +1,8 @@
-//! The thread that owns the disk: it writes what waits together, with one sync, and says when it lasts.
+//! The thread that owns the disk: it writes what waits together, with one sync, and says when it is stored.
 
+use beechcroft_consensus::Records;
 use beechcroft_safeguards::Safeguard;
-use beechcroft_storage::{Cache, Table};
+use beechcroft_storage::{RecordStore, Table};
 use std::future::Future;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,97 +11,117 @@
 use std::sync::mpsc;
 use tokio::sync::oneshot;
 
-pub type Records = Vec<(String, Vec<u8>)>;
+/// The record of a replica's identity.
+const IDENTITY: &str = "identity";
+/// The records that a replica relies on.
+const REPLICA_RECORDS: [&str; 3] = [IDENTITY, "register-0", "register-1"];
+/// What a node without a replica may hand over of a former one.
+const FORMER_IDENTITY: &str = "former";
 
-/// What a voter stands on, and what a machine without a membership may hand over of a former one.
-const STANDS_ON: [&str; 4] = ["identity", "register-0", "register-1", "former"];
-
-/// Makes a table of which records are damaged such that a hut may go by it. A help that is damaged is dropped. A voter that
-/// has lost a table counts as one that has lost its disk: an identity that is kept and empty says that there was one. Such
-/// a machine founds no voters, and votes again once it has learned from the others. Whether it is so.
-pub fn repair(damaged: impl Fn(&str) -> bool, table: &mut Table) -> bool {
-    table.retain(|name, _| !damaged(name));
-    let lost = STANDS_ON[..3].iter().any(|name| damaged(name))
+/// Turns a table with corrupt records into one that is safe to use. Whether that counts as a lost disk.
+///
+/// A corrupt record that only saves time is dropped. A replica that has lost a record counts as one that has lost its
+/// disk: an identity that is kept and empty says that there was one. Such a node bootstraps nothing, and votes again
+/// once it has recovered from the others.
+pub fn repair(is_corrupt: impl Fn(&str) -> bool, table: &mut Table) -> bool {
+    table.retain(|name, _| !is_corrupt(name));
+    let is_lost = REPLICA_RECORDS.iter().any(|name| is_corrupt(name))
         && Safeguard::CorruptionIsDiskLoss.is_enabled();
-    if lost {
-        STANDS_ON.iter().for_each(|name| drop(table.remove(*name)));
-        table.insert("identity".into(), Vec::new());
+    if is_lost {
+        for name in REPLICA_RECORDS.iter().chain([&FORMER_IDENTITY]) {
+            table.remove(*name);
+        }
+        table.insert(IDENTITY.into(), Vec::new());
     }
-    lost
+    is_lost
 }
 
-/// Opens a folder; damage is named, and made good as far as this machine alone can.
-pub fn open(folder: &Path) -> io::Result<Cache> {
-    Cache::open_repaired(folder, |damage, table| {
-        for place in damage.places() {
+/// Opens a folder. Corruption is logged, and repaired as far as this node alone can.
+pub fn open(folder: &Path) -> io::Result<RecordStore> {
+    RecordStore::open_repaired(folder, |corruption, table| {
+        for place in corruption.places() {
             log::error!("disk: {}/{place}.", folder.display());
         }
-        if repair(|name| damage.of(name), table) {
+        if repair(|name| corruption.affects(name), table) {
             log::error!(
-                "disk: This counts as a lost disk: the machine learns from the others before it votes."
+                "disk: This counts as a lost disk: the node recovers from the others before it votes."
             );
         }
     })
 }
 
-/// The queue of the disk's owner.
+/// The queue of the disk's owner. Clones share it.
 #[derive(Clone)]
 pub struct Disk(Owner);
 
 #[derive(Clone)]
 enum Owner {
-    Thread(mpsc::Sender<(Records, oneshot::Sender<bool>)>),
-    World(Rc<dyn Keeps>),
+    Thread(mpsc::Sender<WriteJob>),
+    Simulated(Rc<dyn SimulatedDisk>),
 }
 
-/// A disk in a world.
-pub trait Keeps {
-    /// Whether the records last.
-    fn keep(&self, records: Records) -> Pin<Box<dyn Future<Output = bool>>>;
+/// Records to write, and who waits for that.
+struct WriteJob {
+    records: Records,
+    stored: oneshot::Sender<bool>,
+}
+
+/// A disk in a simulation.
+pub trait SimulatedDisk {
+    /// Writes and syncs records. Whether they are stored.
+    fn store(&self, records: Records) -> Pin<Box<dyn Future<Output = bool>>>;
 }
 
 impl Disk {
-    /// Opens the folder and starts the owner; what the folder held comes back.
+    /// Opens the folder and starts the owner. What the folder held comes back.
     pub fn open(folder: PathBuf) -> io::Result<(Disk, Table)> {
-        let mut cache = open(&folder)?;
-        let table = cache.table().clone();
-        let (queue, jobs) = mpsc::channel::<(Records, oneshot::Sender<bool>)>();
-        std::thread::Builder::new()
-            .name("disk".into())
-            .spawn(move || {
-                while let Ok((mut records, asked)) = jobs.recv() {
-                    let mut waiting = vec![asked];
-                    while let Ok((more, asked)) = jobs.try_recv() {
-                        records.extend(more);
-                        waiting.push(asked);
-                    }
-                    let kept = cache.write(&records);
-                    if let Err(e) = &kept {
-                        log::warn!("disk: Writing failed: {e}.");
-                    }
-                    for asked in waiting {
-                        let _ = asked.send(kept.is_ok());
-                    }
-                }
-            })?;
+        let store = open(&folder)?;
+        let table = store.table().clone();
+        let (queue, jobs) = mpsc::channel();
+        let thread = std::thread::Builder::new().name("disk".into());
+        thread.spawn(move || write_jobs(store, jobs))?;
         Ok((Disk(Owner::Thread(queue)), table))
     }
 
-    pub fn world(disk: Rc<dyn Keeps>) -> Disk {
-        Disk(Owner::World(disk))
+    /// A disk in a simulation.
+    pub fn simulated(disk: Rc<dyn SimulatedDisk>) -> Disk {
+        Disk(Owner::Simulated(disk))
     }
 
-    /// Whether the records are on disk to stay.
-    pub async fn keep(&self, records: Records) -> bool {
+    /// Writes and syncs records. Whether they are stored.
+    pub async fn store(&self, records: Records) -> bool {
         if records.is_empty() {
             return true;
         }
         match &self.0 {
-            Owner::World(disk) => disk.keep(records).await,
+            Owner::Simulated(disk) => disk.store(records).await,
             Owner::Thread(queue) => {
-                let (asked, told) = oneshot::channel();
-                queue.send((records, asked)).is_ok() && told.await.unwrap_or(false)
+                let (stored, result) = oneshot::channel();
+                let sent = queue.send(WriteJob { records, stored });
+                sent.is_ok() && result.await.unwrap_or(false)
             }
         }
     }
 }
+
+/// Writes jobs until the queue is dropped: all that wait together, with one sync.
+fn write_jobs(mut store: RecordStore, jobs: mpsc::Receiver<WriteJob>) {
+    while let Ok(WriteJob {
+        mut records,
+        stored,
+    }) = jobs.recv()
+    {
+        let mut waiting = vec![stored];
+        while let Ok(job) = jobs.try_recv() {
+            records.extend(job.records);
+            waiting.push(job.stored);
+        }
+        let written = store.write(&records);
+        if let Err(e) = &written {
+            log::warn!("disk: Writing failed: {e}.");
+        }
+        for stored in waiting {
+            let _ = stored.send(written.is_ok());
+        }
+    }
+}
--- a/crates/beechcroft-control/src/run.rs
+++ b/crates/beechcroft-control/src/run.rs
@@ -1,142 +1,160 @@
-//! How the parts of hut are put together: the desks, the owner, its disk; and how it leaves.
+//! How the parts of a control node are put together: servers, state owner, disk; and how it shuts down.
 
-use crate::desks;
+use crate::api::{ControlApi, MAX_CLOCK_SKEW_MS};
 use crate::disk::Disk;
-use crate::keeper::{Command, Keeper, LEAVE_MS};
-use beechcroft_config::usual::Usual;
-use beechcroft_config::Settings;
-use beechcroft_consensus::Voter;
-use beechcroft_gossip::{Member, Standing};
+use crate::state_owner::{Command, CommandQueue, StateOwner, StateOwnerParts, SHUTDOWN_ANSWER_MS};
+use crate::{directory, internal_api};
+use beechcroft_config::{ServiceDefaults, Settings};
+use beechcroft_consensus::Acceptor;
+use beechcroft_gossip::{Member, MemberState};
 use beechcroft_storage::Table;
-use beechcroft_transport::desk::{self, Bounds};
-use beechcroft_transport::errand::Errands;
-use beechcroft_transport::lifecycle::{self, Outside};
-use beechcroft_transport::post::Post;
+use beechcroft_transport::datagram::MessageSocket;
+use beechcroft_transport::lifecycle::{spawn_inputs, Environment, OwnerInputs};
+use beechcroft_transport::rpc::RpcClient;
+use beechcroft_transport::server::{serve, ServerLimits};
+use beechcroft_transport::Runtime;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
+use tokio::time::Instant;
 
-/// What is left of the grace as a machine that still waits ends.
-const LEAVE_MARGIN: Duration = Duration::from_millis(1500);
+/// Between two ticks of the state owner.
+const TICK_INTERVAL: Duration = Duration::from_millis(40);
+/// What is left of the grace period when a node exits that still waits to hand over.
+const EXIT_MARGIN: Duration = Duration::from_millis(1500);
+/// How long an answer of the directory holds at most, in seconds.
+const MAX_TTL_S: f64 = 5.0;
 
-/// Runs until it is told to leave. `table`: what the disk held.
+/// Runs until it is told to shut down and has handed over. `table`: what the disk held.
 pub async fn run(
     settings: Settings,
-    usual: Usual,
-    outside: Outside,
+    defaults: ServiceDefaults,
+    environment: Environment,
     disk: Disk,
     table: Table,
 ) -> Result<(), String> {
-    let said = |e: std::io::Error| e.to_string();
-    let Outside {
-        ground,
-        mut term,
+    let Environment {
+        runtime,
+        mut shutdown,
         seeds,
-    } = outside;
-    let incarnation = ground.wall().as_millis() as u64;
-    let salt: u64 =
-        incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(u32::from(settings.ip)) << 20;
-    let me = Member {
-        name: settings.node_name.clone(),
-        ip: settings.ip,
-        core: true,
-        quorum: settings.quorum_member,
-        region: settings.region.clone(),
-        zone: settings.zone.clone(),
-        ingress: None,
-        control: settings.listen.control,
-        incarnation,
-        mark: 0,
-        standing: Standing::Ready,
-    };
-    let voter = Voter::new(&me.name, settings.fault_tolerance.node_losses, salt, &table);
-    let inside = SocketAddrV4::new(settings.ip, settings.internal_ports[0]);
-    let post = Post::open(&ground, inside).await.map_err(said)?;
+    } = environment;
+    let incarnation = runtime.time_of_day().as_millis() as u64;
+    let salt = process_salt(incarnation, &settings);
+    let local = local_member(&settings, incarnation);
+    let losses = settings.fault_tolerance.node_losses;
+    let acceptor = Acceptor::new(&local.name, losses, salt, &table);
+    let internal = SocketAddrV4::new(settings.ip, settings.internal_ports[0]);
+    let socket = MessageSocket::bind(&runtime, internal)
+        .await
+        .map_err(|e| e.to_string())?;
     let (queue, mut commands) = mpsc::unbounded_channel();
-    let errands = Errands::new(ground.clone());
-    let mut keeper = Keeper::new(
-        settings.clone(),
-        usual,
-        voter,
-        me,
+    let parts = StateOwnerParts {
+        settings: settings.clone(),
+        defaults,
+        acceptor,
+        local,
         salt,
-        &table,
         disk,
-        post.clone(),
-        errands,
-        queue.clone(),
-    );
+        socket: socket.clone(),
+        rpc: RpcClient::new(runtime.clone()),
+        queue: queue.clone(),
+    };
+    let mut owner = StateOwner::new(parts, &table);
     drop(table);
 
-    let ttl_s = settings.bounds.ttl_max_s.min(5.0);
-    let mut desks = Vec::new();
-    if let Some(at) = settings.listen.control {
-        let repeat_ms = settings.bounds.ack_ms + desks::CLOCKS_APART_MS;
-        let control = desks::Control {
-            queue: queue.clone(),
-            ground: ground.clone(),
-            repeat_ms,
-        };
-        desks.push(spawn_local(desk::serve(
-            ground.clone(),
-            at,
-            Bounds::default(),
-            move |call| desks::control(control.clone(), call),
-        )));
-    }
-    if let Some(at) = settings.listen.directory {
-        let queue = queue.clone();
-        desks.push(spawn_local(desk::serve(
-            ground.clone(),
-            at,
-            Bounds::default(),
-            move |call| desks::directory(queue.clone(), ttl_s, call),
-        )));
-    }
-    let inner = queue.clone();
-    desks.push(spawn_local(desk::serve(
-        ground.clone(),
-        inside,
-        Bounds::default(),
-        move |call| desks::relays(inner.clone(), call),
-    )));
-
-    let every = Duration::from_millis(40);
-    let tick = || Command::Tick;
-    lifecycle::feed(
-        post,
-        every,
+    spawn_servers(&settings, &runtime, &queue, internal);
+    let inputs = OwnerInputs {
         queue,
-        Command::Letter,
-        tick,
-        seeds,
-        Command::Seeds,
-    );
+        tick_interval: TICK_INTERVAL,
+        on_message: Command::Message,
+        on_tick: || Command::Tick,
+        on_seeds: Command::Seeds,
+    };
+    spawn_inputs(socket, seeds, inputs);
     loop {
         tokio::select! {
             biased;
             command = commands.recv() => match command {
-                Some(command) => keeper.on(command),
+                Some(command) => owner.step(command),
                 None => return Ok(()),
             },
-            () = &mut term => break,
+            () = &mut shutdown => break,
         }
     }
-    // What was taken is still answered, and what only this machine holds goes elsewhere; then the process ends.
-    keeper.on(Command::Leave);
-    let began = tokio::time::Instant::now();
-    let end = began + Duration::from_millis(LEAVE_MS);
+    shut_down(&settings, owner, commands).await;
+    Ok(())
+}
+
+/// A number that differs between processes and between machines.
+fn process_salt(incarnation: u64, settings: &Settings) -> u64 {
+    let machine = u64::from(u32::from(settings.ip)) << 20;
+    incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ machine
+}
+
+fn local_member(settings: &Settings, incarnation: u64) -> Member {
+    Member {
+        name: settings.node_name.clone(),
+        ip: settings.ip,
+        is_control: true,
+        is_quorum_member: settings.quorum_member,
+        region: settings.region.clone(),
+        zone: settings.zone.clone(),
+        ingress: None,
+        control: settings.listen.control,
+        incarnation,
+        version: 0,
+        state: MemberState::Ready,
+    }
+}
+
+/// Starts a server for each of what the process serves, and for other nodes.
+fn spawn_servers(
+    settings: &Settings,
+    runtime: &Runtime,
+    queue: &CommandQueue,
+    internal: SocketAddrV4,
+) {
+    let limits = ServerLimits::default();
+    if let Some(address) = settings.listen.control {
+        let api = ControlApi {
+            queue: queue.clone(),
+            runtime: runtime.clone(),
+            repeat_ms: settings.bounds.ack_ms + MAX_CLOCK_SKEW_MS,
+        };
+        let handler = move |request| api.clone().handle(request);
+        spawn_local(serve(runtime.clone(), address, limits, handler));
+    }
+    if let Some(address) = settings.listen.directory {
+        let ttl_s = settings.bounds.ttl_max_s.min(MAX_TTL_S);
+        let queue = queue.clone();
+        let handler = move |request| directory::handle(queue.clone(), ttl_s, request);
+        spawn_local(serve(runtime.clone(), address, limits, handler));
+    }
+    let queue = queue.clone();
+    let handler = move |request| internal_api::handle(queue.clone(), request);
+    spawn_local(serve(runtime.clone(), internal, limits, handler));
+}
+
+/// Answers what was given to this node, and hands over what only it holds, within the grace period.
+async fn shut_down(
+    settings: &Settings,
+    mut owner: StateOwner,
+    mut commands: mpsc::UnboundedReceiver<Command>,
+) {
+    owner.step(Command::ShutDown);
+    let began = Instant::now();
+    let earliest = began + Duration::from_millis(SHUTDOWN_ANSWER_MS);
     let grace = Duration::from_secs_f64(settings.bounds.grace_s.clamp(0.0, 1e6));
-    let last = end.max(began + grace.saturating_sub(LEAVE_MARGIN));
+    let latest = earliest.max(began + grace.saturating_sub(EXIT_MARGIN));
     loop {
-        let now = tokio::time::Instant::now();
-        if now >= last || now >= end && keeper.may_end() {
-            return Ok(());
+        let now = Instant::now();
+        if now >= latest || now >= earliest && owner.may_exit() {
+            return;
         }
-        let until = if now < end { end } else { last };
+        let until = if now < earliest { earliest } else { latest };
         if let Ok(Some(command)) = tokio::time::timeout_at(until, commands.recv()).await {
-            keeper.on(command);
+            owner.step(command);
         }
     }
 }
