--- a/crates/beechcroft-lab/src/crowd.rs
+++ b/crates/beechcroft-lab/src/crowd.rs
@@ -149,11 +149,16 @@
             series.push((format!("{relays} relays, {:.0}%", share * 100.0), points));
         }
         let before = crate::ALLOCATED.stats();
-        let mut crowd = beechcroft_hotkeys::Crowd::default();
+        let mut detector = beechcroft_hotkeys::HotKeyDetector::default();
+        let capacity = beechcroft_hotkeys::ServiceCapacity {
+            usual_endpoints: USUAL,
+            endpoint_rate: 200.0,
+            endpoints: 40,
+        };
         for n in 0..10_000_000u64 {
-            crowd.saw(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+            detector.record_lookup(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
             if n.is_multiple_of(1000) {
-                crowd.tick(1 + n / 10, USUAL, 200.0, 40, 3);
+                detector.tick(1 + n / 10, capacity, 3);
             }
         }
         let after = crate::ALLOCATED.stats();
@@ -183,7 +188,7 @@
 
     /// One night in each mode; the claims are about the last.
     fn night(&self, relays: usize, share: f64, trouble: Trouble, broken: &mut Vec<String>) {
-        let seen = [Mode::Plain, Mode::Usual, Mode::Spread].map(|mode| {
+        let seen = [Mode::Plain, Mode::UsualPlaces, Mode::Spread].map(|mode| {
             let seen = play(Night::new(relays, share, mode, trouble, self.seed));
             line(relays, share, mode, trouble, &seen);
             seen
--- a/crates/beechcroft-lab/src/sight.rs
+++ b/crates/beechcroft-lab/src/sight.rs
@@ -1,6 +1,6 @@
 //! `sight`: verdicts on units from what relays of all regions see, against each relay by itself and against beats.
 
-use beechcroft_config::config::{Config, Unfit};
+use beechcroft_config::config::{Config, OutlierRules};
 use beechcroft_simulator::sight::{
     long_watch, moving_place, watch, Ill, Long, Report, Watch, ILLS,
 };
@@ -17,7 +17,7 @@
     days: f64,
 }
 
-fn rules(preset: &str) -> Unfit {
+fn rules(preset: &str) -> OutlierRules {
     let body = format!(
         r#"{{"version":"00000001","services":[{{"name":"s","unfit":{{"preset":"{preset}"}}}}],"virtualHosts":[]}}"#
     );
--- a/crates/beechcroft-proxy/src/pool.rs
+++ b/crates/beechcroft-proxy/src/pool.rs
@@ -1,100 +1,111 @@
-//! Kept connections to units. A connection comes back only after a whole answer with nothing unread behind it,
-//! and is used again only well inside the time for which the unit keeps it.
+//! Kept connections to units. A connection comes back only after a complete response with nothing unread behind it, and
+//! is used again only well within the time for which the unit keeps it.
 
 use beechcroft_safeguards::Safeguard;
-use beechcroft_transport::line::Line;
+use beechcroft_transport::connection::Connection;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Where the unit does not say how long it keeps an idle connection.
-const KEEP_MS: u64 = 4000;
-/// Part of the unit's own time for which a connection is used again; for a request that must not be lost, half.
-const KEEP_PART: f64 = 0.7;
+/// For how long a connection is used again where the unit does not say how long it keeps one, in milliseconds.
+const DEFAULT_KEEP_MS: u64 = 4000;
+/// The share of the unit's own time for which a connection is used again.
+const KEEP_SHARE: f64 = 0.7;
 
+/// An idle connection.
 #[derive(Debug)]
-struct Idle {
-    line: Line,
+struct IdleConnection {
+    connection: Connection,
     since: u64,
     keep_ms: u64,
 }
 
+/// The connections to one unit.
 #[derive(Debug, Default)]
-struct Kept {
-    idle: Vec<Idle>,
-    /// Connections that are open, in use or idle.
+struct UnitConnections {
+    idle: Vec<IdleConnection>,
+    /// Connections that are open, in use or idle. Invariant: at least as many as are idle.
     open: usize,
 }
 
+/// The connections to all units.
 #[derive(Debug, Default)]
-pub struct Pool(BTreeMap<Rc<str>, Kept>);
+pub struct Pool(BTreeMap<Rc<str>, UnitConnections>);
 
 impl Pool {
-    /// A connection that is surely alive. `sure`: the request may not run twice.
-    pub fn take(&mut self, now: u64, unit: &str, sure: bool) -> Option<Line> {
-        let kept = self.0.get_mut(unit)?;
-        while let Some(Idle {
-            line,
-            since,
-            keep_ms,
-        }) = kept.idle.pop()
-        {
-            let age = now.saturating_sub(since);
-            if age < if sure { keep_ms / 2 } else { keep_ms }
-                && (line.clean() || !Safeguard::CleanConnections.is_enabled())
-            {
-                return Some(line);
+    /// An idle connection that is alive. `is_exclusive`: the request must not be executed twice, so only connections in the
+    /// first half of their time are used.
+    pub fn take(&mut self, now: u64, unit: &str, is_exclusive: bool) -> Option<Connection> {
+        let connections = self.0.get_mut(unit)?;
+        while let Some(idle) = connections.idle.pop() {
+            let IdleConnection {
+                connection,
+                since,
+                keep_ms,
+            } = idle;
+            let limit_ms = if is_exclusive { keep_ms / 2 } else { keep_ms };
+            let is_young = now.saturating_sub(since) < limit_ms;
+            if is_young && (connection.is_clean() || !Safeguard::CleanConnections.is_enabled()) {
+                return Some(connection);
             }
-            kept.open -= 1;
+            connections.open -= 1;
         }
         None
     }
 
-    /// Room for one more connection among `most`; it counts from now on.
-    pub fn open(&mut self, unit: &Rc<str>, most: usize) -> bool {
-        let kept = self.0.entry(unit.clone()).or_default();
-        let room = kept.open < most.max(1);
-        kept.open += usize::from(room);
-        room
+    /// Whether one more connection may be opened where `limit` are allowed. It counts from now on.
+    pub fn try_open(&mut self, unit: &Rc<str>, limit: usize) -> bool {
+        let connections = self.0.entry(unit.clone()).or_default();
+        let is_allowed = connections.open < limit.max(1);
+        connections.open += usize::from(is_allowed);
+        is_allowed
     }
 
-    /// A connection to the unit has just broken: the idle ones beside it may lead to the same nothing.
-    pub fn distrust(&mut self, unit: &str) {
-        if let Some(kept) = self.0.get_mut(unit) {
-            kept.open = kept.open.saturating_sub(kept.idle.len());
-            kept.idle.clear();
+    /// A connection to the unit has just broken: its idle ones may be broken as well, and are closed.
+    pub fn close_idle(&mut self, unit: &str) {
+        if let Some(connections) = self.0.get_mut(unit) {
+            connections.open = connections.open.saturating_sub(connections.idle.len());
+            connections.idle.clear();
         }
     }
 
-    /// A connection is closed.
-    pub fn closed(&mut self, unit: &str) {
-        if let Some(kept) = self.0.get_mut(unit) {
-            kept.open = kept.open.saturating_sub(1);
+    /// A connection was closed.
+    pub fn on_closed(&mut self, unit: &str) {
+        if let Some(connections) = self.0.get_mut(unit) {
+            connections.open = connections.open.saturating_sub(1);
         }
     }
 
-    /// A connection may be used again.
-    pub fn keep(&mut self, now: u64, unit: &str, mut line: Line, keep_alive_s: Option<u64>) {
-        let Some(kept) = self.0.get_mut(unit) else {
+    /// Keeps a connection that may be used again.
+    pub fn keep(
+        &mut self,
+        now: u64,
+        unit: &str,
+        mut connection: Connection,
+        keep_alive_s: Option<u64>,
+    ) {
+        let Some(connections) = self.0.get_mut(unit) else {
             return;
         };
-        line.rest();
-        let keep_ms = keep_alive_s.map_or(KEEP_MS, |s| (s as f64 * 1000.0 * KEEP_PART) as u64);
-        kept.idle.push(Idle {
-            line,
+        connection.release_buffer();
+        let stated_ms = keep_alive_s.map(|s| (s as f64 * 1000.0 * KEEP_SHARE) as u64);
+        let keep_ms = stated_ms.unwrap_or(DEFAULT_KEEP_MS);
+        connections.idle.push(IdleConnection {
+            connection,
             since: now,
             keep_ms,
         });
     }
 
-    /// Closes what has been idle for too long, and what belongs to units that get nothing more.
-    pub fn sweep(&mut self, now: u64, mut used: impl FnMut(&str) -> bool) {
-        self.0.retain(|unit, kept| {
-            let used = used(unit);
-            let before = kept.idle.len();
-            kept.idle
-                .retain(|idle| used && now.saturating_sub(idle.since) < idle.keep_ms);
-            kept.open -= before - kept.idle.len();
-            kept.open > 0
+    /// Closes connections that have been idle for too long, and those to units that get no more requests.
+    pub fn close_expired(&mut self, now: u64, mut is_used: impl FnMut(&str) -> bool) {
+        self.0.retain(|unit, connections| {
+            let is_used = is_used(unit);
+            let before = connections.idle.len();
+            connections
+                .idle
+                .retain(|idle| is_used && now.saturating_sub(idle.since) < idle.keep_ms);
+            connections.open -= before - connections.idle.len();
+            connections.open > 0
         });
     }
 }
--- a/crates/beechcroft-proxy/src/run.rs
+++ b/crates/beechcroft-proxy/src/run.rs
@@ -1,181 +1,204 @@
-//! How the parts of trail are put together: the desks, the owner, clients; and how it leaves.
+//! How the parts of a proxy are put together: servers, state owner, clients; and how it shuts down.
 
-use crate::guide::{self, Command, Guide};
-use crate::serve;
+use crate::client;
 use crate::shared::{Phase, Shared};
-use beechcroft_config::usual::Usual;
-use beechcroft_config::Settings;
-use beechcroft_consensus::Value;
+use crate::state_owner::{Command, CommandQueue, StateOwner};
+use beechcroft_config::{ServiceDefaults, Settings};
+use beechcroft_consensus::{RegisterId, Value};
 use beechcroft_error::ErrorKind;
-use beechcroft_gossip::{Member, Standing};
-use beechcroft_transport::calls;
-use beechcroft_transport::desk::{self, Answer, Bounds};
-use beechcroft_transport::errand::Errands;
-use beechcroft_transport::lifecycle::{self, Outside};
-use beechcroft_transport::post::Post;
+use beechcroft_gossip::{Member, MemberState};
+use beechcroft_transport::calls::ApiCall;
+use beechcroft_transport::datagram::MessageSocket;
+use beechcroft_transport::lifecycle::{spawn_inputs, Environment, OwnerInputs};
+use beechcroft_transport::rpc::{paths, RpcClient};
+use beechcroft_transport::runtime::Listener;
+use beechcroft_transport::server::{self, Request, Response, ServerLimits};
 use std::future::Future;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::mpsc;
+use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
+/// Between two ticks of the state owner.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// After SIGTERM, clients may hold an old answer of the directory for so long: two seconds and some.
-const STAY_MS: u64 = 3500;
+const DIRECTORY_LAG: Duration = Duration::from_millis(3500);
+/// What is left of the grace period when new requests are rejected.
+const CLOSING_MARGIN: Duration = Duration::from_millis(1500);
+/// What is left of the grace period when the process exits with requests in flight.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+/// Between two looks at a shutdown.
+const SHUTDOWN_INTERVAL: Duration = Duration::from_millis(50);
+/// After its start, a proxy accepts connections once it is ready, or after so long.
+const MAX_ACCEPT_DELAY: Duration = Duration::from_millis(600);
+/// Between two looks at whether it is ready.
+const READY_INTERVAL: Duration = Duration::from_millis(10);
+/// The pause after a failure to accept a connection.
+const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-/// After its start, a relay takes connections once it is ready, or after so long.
-const COMING: Duration = Duration::from_millis(600);
-
-/// Runs until it is told to leave and has left in order.
-pub async fn run(settings: Settings, usual: Usual, outside: Outside) -> Result<(), String> {
-    let said = |e: std::io::Error| e.to_string();
-    let Outside {
-        ground,
-        term,
+/// Runs until it is told to shut down and has done so in order.
+pub async fn run(
+    settings: Settings,
+    defaults: ServiceDefaults,
+    environment: Environment,
+) -> Result<(), String> {
+    let Environment {
+        runtime,
+        shutdown,
         seeds,
-    } = outside;
-    let incarnation = ground.wall().as_millis() as u64;
-    let salt: u64 =
-        incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(u32::from(settings.ip)) << 20;
-    let me = Member {
+    } = environment;
+    let incarnation = runtime.time_of_day().as_millis() as u64;
+    let machine = u64::from(u32::from(settings.ip)) << 20;
+    let salt = incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ machine;
+    let local = local_member(&settings, incarnation);
+    let internal = SocketAddrV4::new(settings.ip, settings.internal_ports[0] + 1);
+    let socket = MessageSocket::bind(&runtime, internal)
+        .await
+        .map_err(|e| e.to_string())?;
+    let shared = Rc::new(Shared::new(
+        settings.clone(),
+        defaults,
+        salt,
+        runtime.clone(),
+    ));
+    let (queue, mut commands) = mpsc::unbounded_channel();
+    let rpc = RpcClient::new(runtime.clone());
+    let mut owner = StateOwner::new(
+        shared.clone(),
+        local,
+        salt,
+        socket.clone(),
+        rpc,
+        queue.clone(),
+    );
+
+    spawn_servers(&shared, &queue, internal);
+    if let Some(address) = settings.listen.ingress {
+        let listener = runtime.listen(address).await.map_err(|e| e.to_string())?;
+        spawn_local(accept_clients(shared.clone(), queue.clone(), listener));
+    }
+    let inputs = OwnerInputs {
+        queue: queue.clone(),
+        tick_interval: TICK_INTERVAL,
+        on_message: Command::Message,
+        on_tick: || Command::Tick,
+        on_seeds: Command::Seeds,
+    };
+    spawn_inputs(socket, seeds, inputs);
+    let mut shut_down = std::pin::pin!(shut_down(shared.clone(), queue, shutdown));
+    loop {
+        tokio::select! {
+            biased;
+            Some(command) = commands.recv() => owner.step(command),
+            () = &mut shut_down => return Ok(()),
+        }
+    }
+}
+
+fn local_member(settings: &Settings, incarnation: u64) -> Member {
+    Member {
         name: settings.node_name.clone(),
         ip: settings.ip,
-        core: false,
-        quorum: false,
+        is_control: false,
+        is_quorum_member: false,
         region: settings.region.clone(),
         zone: settings.zone.clone(),
         ingress: settings.listen.ingress,
         control: None,
         incarnation,
-        mark: 0,
-        standing: Standing::Coming,
-    };
-    let inside = SocketAddrV4::new(settings.ip, settings.internal_ports[0] + 1);
-    let post = Post::open(&ground, inside).await.map_err(said)?;
-    let mut shared = Shared::new(settings.clone(), salt, ground.clone());
-    shared.usual = usual;
-    let shared = Rc::new(shared);
-    let (queue, mut commands) = mpsc::unbounded_channel();
-    let errands = Errands::new(ground.clone());
-    let mut guide = Guide::new(
-        shared.clone(),
-        me,
-        salt,
-        post.clone(),
-        errands,
-        queue.clone(),
-    );
+        version: 0,
+        state: MemberState::Starting,
+    }
+}
 
-    if let Some(at) = settings.listen.readiness {
+/// Starts the servers for readiness checks and for other nodes.
+fn spawn_servers(shared: &Rc<Shared>, queue: &CommandQueue, internal: SocketAddrV4) {
+    let (runtime, limits) = (shared.runtime.clone(), ServerLimits::default());
+    if let Some(address) = shared.settings.listen.readiness {
         let shared = shared.clone();
-        spawn_local(desk::serve(
-            ground.clone(),
-            at,
-            Bounds::default(),
-            move |call| ready(shared.clone(), call),
-        ));
+        let handler = move |request| handle_readiness(shared.clone(), request);
+        spawn_local(server::serve(runtime.clone(), address, limits, handler));
     }
-    let inner = queue.clone();
-    spawn_local(desk::serve(
-        ground.clone(),
-        inside,
-        Bounds::default(),
-        move |call| relays(inner.clone(), call),
-    ));
-    if let Some(at) = settings.listen.ingress {
-        let mut listener = ground.listen(at).await.map_err(said)?;
-        let (shared, queue) = (shared.clone(), queue.clone());
-        spawn_local(async move {
-            // Until it can serve, a relay that has just started reads nothing, for a moment.
-            let patience = Instant::now() + COMING;
-            while shared.phase.get() == Phase::Coming && Instant::now() < patience {
-                sleep(Duration::from_millis(10)).await;
-            }
-            loop {
-                match listener.accept().await {
-                    Ok((stream, _)) => drop(spawn_local(serve::client(
-                        shared.clone(),
-                        queue.clone(),
-                        stream,
-                    ))),
-                    Err(e) => {
-                        log::warn!("serve: Accepting failed: {e}.");
-                        sleep(Duration::from_millis(20)).await;
-                    }
-                }
-            }
-        });
+    let queue = queue.clone();
+    let handler = move |request| handle_internal(queue.clone(), request);
+    spawn_local(server::serve(runtime, internal, limits, handler));
+}
+
+/// Accepts connections of clients for as long as the process runs.
+async fn accept_clients(shared: Rc<Shared>, queue: CommandQueue, mut listener: Listener) {
+    // Until it can serve, a proxy that has just started accepts nothing, for a moment.
+    let latest = Instant::now() + MAX_ACCEPT_DELAY;
+    while shared.phase.get() == Phase::Starting && Instant::now() < latest {
+        sleep(READY_INTERVAL).await;
     }
-    let every = Duration::from_millis(50);
-    let tick = || Command::Tick;
-    lifecycle::feed(
-        post,
-        every,
-        queue.clone(),
-        Command::Letter,
-        tick,
-        seeds,
-        Command::Seeds,
-    );
-    let mut left = std::pin::pin!(leave(shared.clone(), queue, term));
     loop {
-        tokio::select! {
-            biased;
-            Some(command) = commands.recv() => guide.on(command),
-            () = &mut left => return Ok(()),
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                drop(spawn_local(client::serve(
+                    shared.clone(),
+                    queue.clone(),
+                    stream,
+                )));
+            }
+            Err(e) => {
+                log::warn!("client: Accepting failed: {e}.");
+                sleep(ACCEPT_RETRY).await;
+            }
         }
     }
 }
 
-/// SIGTERM: not ready at once and out of the directory; still served until clients have gone elsewhere; every
-/// request that was read gets its answer.
-async fn leave(shared: Rc<Shared>, queue: guide::Queue, term: impl Future<Output = ()>) {
-    term.await;
+/// SIGTERM: not ready at once and out of the directory; still served until clients have gone elsewhere; every request
+/// that was read gets its response.
+async fn shut_down(shared: Rc<Shared>, queue: CommandQueue, shutdown: impl Future<Output = ()>) {
+    shutdown.await;
     let began = Instant::now();
     shared.phase.set(Phase::Leaving);
-    let _ = queue.send(Command::Leave);
+    let _ = queue.send(Command::ShutDown);
     let grace = Duration::from_secs_f64(shared.settings.bounds.grace_s);
-    let stay = Duration::from_millis(STAY_MS).min(grace / 2);
-    let closing = grace.saturating_sub(Duration::from_millis(1500));
-    let end = grace.saturating_sub(Duration::from_millis(400));
+    let earliest = DIRECTORY_LAG.min(grace / 2);
+    let closing = grace.saturating_sub(CLOSING_MARGIN);
+    let latest = grace.saturating_sub(EXIT_MARGIN);
     loop {
-        sleep(Duration::from_millis(50)).await;
-        let passed = began.elapsed();
-        if passed >= closing {
+        sleep(SHUTDOWN_INTERVAL).await;
+        let elapsed = began.elapsed();
+        if elapsed >= closing {
             shared.phase.set(Phase::Closing);
         }
-        if passed >= end || (passed >= stay && shared.under_way.get() == 0) {
+        let is_drained = elapsed >= earliest && shared.in_flight.get() == 0;
+        if elapsed >= latest || is_drained {
             return;
         }
     }
 }
 
-async fn ready(shared: Rc<Shared>, call: desk::Call) -> Answer {
-    if calls::find(&call.method, &call.path) != Some(calls::Call::Ready) {
+async fn handle_readiness(shared: Rc<Shared>, request: Request) -> Response {
+    if ApiCall::parse(&request.method, &request.path) != Some(ApiCall::Ready) {
         return ErrorKind::UnknownCall.into();
     }
     match shared.phase.get() {
-        Phase::Ready => Answer::json("{}"),
-        Phase::Coming => ErrorKind::NotReady.into(),
+        Phase::Ready => Response::json("{}"),
+        Phase::Starting => ErrorKind::NotReady.into(),
         Phase::Leaving | Phase::Closing => ErrorKind::ShuttingDown.into(),
     }
 }
 
-/// Other relays fetch copies of what is chosen.
-async fn relays(queue: guide::Queue, call: desk::Call) -> Answer {
-    if call.path != "/copy" {
+/// Other nodes fetch the latest known values of registers.
+async fn handle_internal(queue: CommandQueue, request: Request) -> Response {
+    if request.path != paths::REGISTER {
         return ErrorKind::UnknownCall.into();
     }
-    let register = usize::from(call.body.first().copied().unwrap_or(0) & 1);
-    let (answer, told) = tokio::sync::oneshot::channel::<Value>();
-    let _ = queue.send(Command::Copy(register, answer));
-    match told
+    let register = RegisterId::from_body(&request.body);
+    let (value, answer) = oneshot::channel::<Value>();
+    let _ = queue.send(Command::ReadRegister { register, value });
+    match answer
         .await
         .ok()
         .and_then(|value| postcard::to_stdvec(&value).ok())
     {
-        Some(bytes) => Answer::bytes(bytes),
+        Some(bytes) => Response::bytes(bytes),
         None => ErrorKind::NotReady.into(),
     }
 }
--- a/crates/beechcroft-simulator/src/whole/day/events.rs
+++ b/crates/beechcroft-simulator/src/whole/day/events.rs
@@ -597,7 +597,7 @@
         self.stage.wires.borrow_mut().orders[at]
             .ended
             .get_or_insert(self.now());
-        let ground = Ground::world(Rc::new(self.stage.fabric.seat(operator())));
+        let ground = Runtime::simulated(Rc::new(self.stage.fabric.seat(operator())));
         let path = format!("/rollouts/{service}/show");
         for nth in 0..120 {
             sleep(Duration::from_millis(300)).await;
--- a/crates/beechcroft-simulator/src/whole/day/hand.rs
+++ b/crates/beechcroft-simulator/src/whole/day/hand.rs
@@ -44,7 +44,7 @@
         body: &[u8],
         within_ms: u64,
     ) -> Heard {
-        let ground = Ground::world(Rc::new(self.0.stage.fabric.seat(operator())));
+        let ground = Runtime::simulated(Rc::new(self.0.stage.fabric.seat(operator())));
         call(
             &ground,
             self.to(core),
@@ -109,7 +109,7 @@
 
     /// What a relay asks of a core machine, by hand.
     async fn inside(&self, core: usize, path: &str, body: &[u8]) -> Option<Vec<u8>> {
-        let ground = Ground::world(Rc::new(self.0.stage.fabric.seat(operator())));
+        let ground = Runtime::simulated(Rc::new(self.0.stage.fabric.seat(operator())));
         let to = SocketAddrV4::new(*self.to(core).ip(), INSIDE[0]);
         let heard = call(&ground, to, "POST", path, body, Duration::from_secs(1)).await;
         heard.filter(|heard| heard.0 == 200).map(|heard| heard.1)
--- a/crates/beechcroft-simulator/src/whole/day/operator.rs
+++ b/crates/beechcroft-simulator/src/whole/day/operator.rs
@@ -208,7 +208,7 @@
 
     /// Reads which configuration is current, to build on it.
     async fn look_up(&self) {
-        let ground = Ground::world(Rc::new(self.stage.fabric.seat(operator())));
+        let ground = Runtime::simulated(Rc::new(self.stage.fabric.seat(operator())));
         let cores = self.stage.cores.borrow().clone();
         for core in cores {
             let to = SocketAddrV4::new(core, CONTROL);
@@ -269,7 +269,7 @@
         patience_ms: u64,
         note: impl Fn(&mut wires::Wires, u16, u64),
     ) -> Option<u16> {
-        let ground = Ground::world(Rc::new(self.stage.fabric.seat(operator())));
+        let ground = Runtime::simulated(Rc::new(self.stage.fabric.seat(operator())));
         while self.orders.get() >= AT_ONCE {
             sleep(Duration::from_millis(10)).await;
         }
@@ -326,7 +326,7 @@
     /// One call, which follows 307 twice: the status, and who gave it.
     async fn follow(
         &self,
-        ground: &Ground,
+        ground: &Runtime,
         to: SocketAddrV4,
         path: &str,
         body: &[u8],
@@ -347,7 +347,7 @@
     }
 
     pub(super) async fn read_back(&self) {
-        let ground = Ground::world(Rc::new(self.stage.fabric.seat(operator())));
+        let ground = Runtime::simulated(Rc::new(self.stage.fabric.seat(operator())));
         let mut rollouts = Vec::new();
         for order in &self.stage.wires.borrow().orders {
             if let wires::What::Rollout { service, .. } = &order.what {
--- a/crates/beechcroft-simulator/src/whole/day/watch.rs
+++ b/crates/beechcroft-simulator/src/whole/day/watch.rs
@@ -9,7 +9,7 @@
 
 impl Day {
     pub(super) async fn watches(self: Rc<Self>) {
-        let ground = Ground::world(Rc::new(self.stage.fabric.seat(operator())));
+        let ground = Runtime::simulated(Rc::new(self.stage.fabric.seat(operator())));
         loop {
             let cores: Vec<Rc<Machine>> = self
                 .machines
@@ -43,7 +43,7 @@
 fn held(text: &str) -> Option<String> {
     let line = text
         .lines()
-        .find_map(|line| line.strip_prefix("membership "))?;
+        .find_map(|line| line.strip_prefix("replica "))?;
     line.split_once(" at epoch ")
         .map(|(voter_id, _)| voter_id.to_owned())
 }
--- a/crates/beechcroft-simulator/src/whole/wrongs.rs
+++ b/crates/beechcroft-simulator/src/whole/wrongs.rs
@@ -2,7 +2,7 @@
 //! that the auditor knows it where it reaches a client.
 
 use super::actors::{Stage, Unit};
-use beechcroft_transport::line::Line;
+use beechcroft_transport::connection::Connection;
 use serde::{Deserialize, Serialize};
 use std::future::pending;
 use std::time::Duration;
@@ -66,11 +66,11 @@
     }
 
     /// Reads some bytes of a request, and no more.
-    pub async fn request(self, stage: &Stage, line: &mut Line) {
+    pub async fn request(self, stage: &Stage, line: &mut Connection) {
         let most = (stage.draw() * CUT_WITHIN) as usize;
         while line.unread().len() < most {
             if !matches!(
-                timeout(Duration::from_millis(5), line.fill()).await,
+                timeout(Duration::from_millis(5), line.read_more()).await,
                 Ok(Ok(1..))
             ) {
                 break;
@@ -86,7 +86,7 @@
         self,
         stage: &Stage,
         unit: &Unit,
-        line: &mut Line,
+        line: &mut Connection,
         id: &str,
         right: &[u8],
     ) -> bool {
