--- a/crates/beechcroft-storage/src/frame.rs
+++ b/crates/beechcroft-storage/src/frame.rs
@@ -1,99 +1,124 @@
-//! An entry's bytes: a head with its number, names, lengths and checksums, and then the values. The head has a checksum
-//! of its own, so that a damaged value is known by its name.
+//! The bytes of a log entry and of a snapshot: a head with its number, names, lengths and checksums, then the values.
+//!
+//! The head has a checksum of its own, so that the name of a corrupt value is still known.
+//!
+//! | bytes | what |
+//! | --- | --- |
+//! | 1 | [`FORMAT`] |
+//! | 4 | length of the head in bytes, its checksum included |
+//! | 4 | length of all values in bytes |
+//! | 8 | number of the entry |
+//! | 2 | count of records |
+//! | for each record: 1, n, 4, 4 | length of the name, name, length of the value, checksum of the value |
+//! | 4 | checksum of the head up to here |
+//! | | the values, in the order of their records |
+//!
+//! Integers are little endian; checksums are CRC-32C.
 
 use std::ops::Range;
 
-/// The first byte of each entry; 0 is what has not been written yet.
-pub const FORMAT: u8 = 2;
-/// Format, lengths of head and values, number, count of records.
-const FIXED: usize = 1 + 4 + 4 + 8 + 2;
+/// The first byte of each frame; 0 is what has not been written yet.
+pub(crate) const FORMAT: u8 = 2;
+/// Bytes of a head before its first record: format, two lengths, number, count.
+const FIXED_HEAD_BYTES: usize = 1 + 4 + 4 + 8 + 2;
+/// Bytes of a checksum.
+const CHECKSUM_BYTES: usize = 4;
 
+/// A record of a frame.
 #[derive(Debug, PartialEq)]
-pub struct Part {
-    pub name: String,
-    /// Where the value stands, from the start of the entry.
-    pub at: Range<usize>,
-    pub sound: bool,
+pub(crate) struct FramedRecord {
+    pub(crate) name: String,
+    /// Where the value is, from the start of the frame.
+    pub(crate) range: Range<usize>,
+    /// Whether the value has its checksum.
+    pub(crate) is_intact: bool,
 }
 
-/// An entry whose head is sound.
+/// A frame whose head is intact.
 #[derive(Debug, PartialEq)]
-pub struct Frame {
-    pub number: u64,
-    pub parts: Vec<Part>,
-    pub length: usize,
+pub(crate) struct Frame {
+    pub(crate) number: u64,
+    pub(crate) records: Vec<FramedRecord>,
+    /// Bytes of head and values.
+    pub(crate) length: usize,
 }
 
-pub fn write<'a>(
+/// Encodes a frame.
+pub(crate) fn encode<'a>(
     number: u64,
     records: impl ExactSizeIterator<Item = (&'a str, &'a [u8])> + Clone,
 ) -> Vec<u8> {
-    let heads: usize = records.clone().map(|(name, _)| 1 + name.len() + 8).sum();
-    let values: usize = records.clone().map(|(_, value)| value.len()).sum();
+    let record_heads: usize = records
+        .clone()
+        .map(|(name, _)| 1 + name.len() + 4 + CHECKSUM_BYTES)
+        .sum();
+    let value_bytes: usize = records.clone().map(|(_, value)| value.len()).sum();
+    let head_bytes = FIXED_HEAD_BYTES + record_heads + CHECKSUM_BYTES;
     let mut bytes = vec![FORMAT];
-    bytes.extend(((FIXED + heads + 4) as u32).to_le_bytes());
-    bytes.extend((values as u32).to_le_bytes());
+    bytes.extend((head_bytes as u32).to_le_bytes());
+    bytes.extend((value_bytes as u32).to_le_bytes());
     bytes.extend(number.to_le_bytes());
     bytes.extend((records.len() as u16).to_le_bytes());
     for (name, value) in records.clone() {
         bytes.push(name.len() as u8);
         bytes.extend(name.as_bytes());
         bytes.extend((value.len() as u32).to_le_bytes());
-        bytes.extend(sum_of(value).to_le_bytes());
+        bytes.extend(checksum(value).to_le_bytes());
     }
-    bytes.extend(sum_of(&bytes).to_le_bytes());
+    bytes.extend(checksum(&bytes).to_le_bytes());
     records.for_each(|(_, value)| bytes.extend(value));
     bytes
 }
 
 impl Frame {
-    /// None if the head is not sound. A value that the bytes do not reach is not sound.
-    pub fn read(bytes: &[u8]) -> Option<Frame> {
+    /// Decodes the frame that begins with these bytes. `None` if its head is corrupt. A value that the bytes do not
+    /// contain to its end is not intact.
+    pub(crate) fn decode(bytes: &[u8]) -> Option<Frame> {
         let (&format, rest) = bytes.split_first()?;
-        let (head, rest) = rest.split_first_chunk::<4>()?;
+        let (head_bytes, rest) = rest.split_first_chunk::<4>()?;
         let (_, rest) = rest.split_first_chunk::<4>()?;
         let (number, rest) = rest.split_first_chunk::<8>()?;
         let (count, mut rest) = rest.split_first_chunk::<2>()?;
-        let head = u32::from_le_bytes(*head) as usize;
-        let (body, sum) = bytes.get(..head)?.split_last_chunk::<4>()?;
-        if format != FORMAT || head < FIXED + 4 || sum_of(body) != u32::from_le_bytes(*sum) {
+        let head_bytes = u32::from_le_bytes(*head_bytes) as usize;
+        let (head, sum) = bytes
+            .get(..head_bytes)?
+            .split_last_chunk::<CHECKSUM_BYTES>()?;
+        let is_intact = checksum(head) == u32::from_le_bytes(*sum);
+        if format != FORMAT || head_bytes < FIXED_HEAD_BYTES + CHECKSUM_BYTES || !is_intact {
             return None;
         }
-        let (mut parts, mut at) = (Vec::new(), head);
+        let (mut records, mut end) = (Vec::new(), head_bytes);
         for _ in 0..u16::from_le_bytes(*count) {
-            let (&length, after) = rest.split_first()?;
-            let name = String::from_utf8(after.get(..usize::from(length))?.to_vec()).ok()?;
-            let after = &after[usize::from(length)..];
-            let (length, after) = after.split_first_chunk::<4>()?;
-            let (sum, after) = after.split_first_chunk::<4>()?;
-            let place = at..at + u32::from_le_bytes(*length) as usize;
-            let sound = bytes
-                .get(place.clone())
-                .is_some_and(|v| sum_of(v) == u32::from_le_bytes(*sum));
-            at = place.end;
-            parts.push(Part {
-                name,
-                at: place,
-                sound,
+            let (&name_length, after) = rest.split_first()?;
+            let (name, after) = after.split_at_checked(usize::from(name_length))?;
+            let (value_length, after) = after.split_first_chunk::<4>()?;
+            let (sum, after) = after.split_first_chunk::<CHECKSUM_BYTES>()?;
+            let range = end..end + u32::from_le_bytes(*value_length) as usize;
+            let value = bytes.get(range.clone());
+            records.push(FramedRecord {
+                name: String::from_utf8(name.to_vec()).ok()?,
+                range: range.clone(),
+                is_intact: value.is_some_and(|v| checksum(v) == u32::from_le_bytes(*sum)),
             });
+            end = range.end;
             rest = after;
         }
         Some(Frame {
             number: u64::from_le_bytes(*number),
-            parts,
-            length: at,
+            records,
+            length: end,
         })
     }
 
-    /// The next entry with a sound head from a place on, numbered above `above`.
-    pub fn find(bytes: &[u8], from: usize, above: u64) -> Option<(usize, Frame)> {
+    /// The first frame at or after `from` that has an intact head and a number above `above`, with its offset.
+    pub(crate) fn find(bytes: &[u8], from: usize, above: u64) -> Option<(usize, Frame)> {
         let starts = (from..bytes.len()).filter(|&at| bytes[at] == FORMAT);
-        let mut frames = starts.filter_map(|at| Some((at, Frame::read(&bytes[at..])?)));
+        let mut frames = starts.filter_map(|at| Some((at, Frame::decode(&bytes[at..])?)));
         frames.find(|(_, frame)| frame.number > above)
     }
 }
 
 /// CRC-32C.
-pub fn sum_of(bytes: &[u8]) -> u32 {
+pub(crate) fn checksum(bytes: &[u8]) -> u32 {
     crc32c::crc32c(bytes)
 }
--- a/crates/beechcroft-transport/src/lifecycle.rs
+++ b/crates/beechcroft-transport/src/lifecycle.rs
@@ -1,10 +1,10 @@
-//! What both programs do with files, checking them and following a settings file that changes; and what feeds the
-//! queue of a table's owner.
+//! What both programs do with files, signals and time: check files, follow a settings file that changes, and feed the
+//! queue of a state owner.
 
-use crate::ground::Ground;
-use crate::post::Post;
+use crate::datagram::MessageSocket;
+use crate::runtime::Runtime;
 use beechcroft_config::{settings, Config, Settings};
-use beechcroft_gossip::Letter;
+use beechcroft_gossip::Message;
 use std::future::Future;
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -15,111 +15,136 @@
 use tokio::task::spawn_local;
 use tokio::time::MissedTickBehavior;
 
-/// What a program stands on and what reaches it from outside.
-pub struct Outside {
-    pub ground: Ground,
-    /// Ends once the program is to leave.
-    pub term: Pin<Box<dyn Future<Output = ()>>>,
-    /// Seeds of a settings file that has changed.
+/// How often the settings file is looked at without a signal.
+const SETTINGS_INTERVAL: Duration = Duration::from_secs(1);
+
+/// What a program stands on, and what reaches it from outside.
+pub struct Environment {
+    /// Sockets and clocks.
+    pub runtime: Runtime,
+    /// Ends once the program is to shut down.
+    pub shutdown: Pin<Box<dyn Future<Output = ()>>>,
+    /// The seeds of a settings file that has changed.
     pub seeds: UnboundedReceiver<Vec<SocketAddrV4>>,
 }
 
-impl Outside {
-    /// Sockets, signals and the settings file of this machine.
-    pub fn machine(settings: &Settings) -> Outside {
-        let (told, seeds) = unbounded_channel();
-        spawn_local(follow_settings(settings.clone(), move |new| {
-            drop(told.send(new))
+impl Environment {
+    /// This machine's sockets and signals, and its settings file.
+    pub fn real(settings: &Settings) -> Environment {
+        let (sender, seeds) = unbounded_channel();
+        spawn_local(follow_settings(settings.clone(), move |seeds| {
+            drop(sender.send(seeds))
         }));
-        let term = async {
+        let shutdown = async {
             match signal(SignalKind::terminate()) {
-                Ok(mut term) => drop(term.recv().await),
+                Ok(mut terminate) => drop(terminate.recv().await),
                 Err(e) => {
-                    log::warn!("life: SIGTERM cannot be heard: {e}.");
+                    log::warn!("lifecycle: SIGTERM cannot be heard: {e}.");
                     std::future::pending().await
                 }
             }
         };
-        Outside {
-            ground: Ground::machine(),
-            term: Box::pin(term),
+        Environment {
+            runtime: Runtime::real(),
+            shutdown: Box::pin(shutdown),
             seeds,
         }
     }
 }
 
-/// Checks a settings file (.toml) or a configuration (.json); a fault is named by key or route.
-pub fn check(path: &Path) -> Result<(), String> {
+/// Checks a settings file (.toml) or a configuration (.json). A fault is named by its key or route.
+pub fn check_file(path: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let done = if path.extension().is_some_and(|kind| kind == "json") {
+    let checked = if path
+        .extension()
+        .is_some_and(|extension| extension == "json")
+    {
         Config::read(text.as_bytes())
             .map(drop)
-            .map_err(|fault| fault.to_string())
+            .map_err(|error| error.to_string())
     } else {
         Settings::read(&text).map(drop)
     };
-    done.map_err(|said| format!("{}: {said}", path.display()))?;
+    checked.map_err(|fault| format!("{}: {fault}", path.display()))?;
     println!("{}: sound", path.display());
     Ok(())
 }
 
-/// SIGHUP, or a file that changed without one: the seeds may be others. The rest holds until the next start.
-async fn follow_settings(mut held: Settings, seeds: impl Fn(Vec<SocketAddrV4>)) {
+/// Reads the settings file again after SIGHUP, or after it changed without one. The seeds may be others; everything
+/// else holds until the next start.
+async fn follow_settings(mut held: Settings, on_seeds: impl Fn(Vec<SocketAddrV4>)) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
     };
     let path = std::env::var(settings::VARIABLE).unwrap_or_default();
     let mut text = std::fs::read_to_string(&path).unwrap_or_default();
     loop {
-        let _ = tokio::time::timeout(Duration::from_secs(1), hangup.recv()).await;
-        let Ok(newer) = std::fs::read_to_string(&path) else {
+        let _ = tokio::time::timeout(SETTINGS_INTERVAL, hangup.recv()).await;
+        let Ok(new_text) = std::fs::read_to_string(&path) else {
             continue;
         };
-        if newer == text {
+        if new_text == text {
             continue;
         }
-        text = newer;
+        text = new_text;
         match Settings::read(&text) {
-            Ok(newer) => {
-                if newer.seed_nodes != held.seed_nodes {
-                    seeds(newer.seed_nodes.clone());
+            Ok(new) => {
+                if new.seed_nodes != held.seed_nodes {
+                    on_seeds(new.seed_nodes.clone());
                 }
-                held = newer;
+                held = new;
             }
-            Err(said) => log::warn!("settings: The changed file is not used: {said}."),
+            Err(fault) => log::warn!("settings: The changed file is not used: {fault}."),
         }
     }
 }
 
-/// Letters as they come and ticks go into the owner's queue for as long as the program runs.
-pub fn feed<C: 'static>(
-    post: Post,
-    every: Duration,
-    queue: UnboundedSender<C>,
-    letter: fn(SocketAddrV4, Box<Letter>) -> C,
-    tick: fn() -> C,
+/// How a state owner wants its inputs: as commands of its own.
+pub struct OwnerInputs<C> {
+    /// The owner's queue.
+    pub queue: UnboundedSender<C>,
+    /// Between two ticks.
+    pub tick_interval: Duration,
+    /// The command of a gossip message.
+    pub on_message: fn(SocketAddrV4, Box<Message>) -> C,
+    /// The command of a tick.
+    pub on_tick: fn() -> C,
+    /// The command of new seeds.
+    pub on_seeds: fn(Vec<SocketAddrV4>) -> C,
+}
+
+/// Feeds gossip messages, ticks and new seeds into the queue of a state owner for as long as the program runs.
+pub fn spawn_inputs<C: 'static>(
+    socket: MessageSocket,
     mut seeds: UnboundedReceiver<Vec<SocketAddrV4>>,
-    reseed: fn(Vec<SocketAddrV4>) -> C,
+    inputs: OwnerInputs<C>,
 ) {
-    let others = queue.clone();
+    let OwnerInputs {
+        queue,
+        tick_interval,
+        on_message,
+        on_tick,
+        on_seeds,
+    } = inputs;
+    let seeds_queue = queue.clone();
     spawn_local(async move {
         while let Some(new) = seeds.recv().await {
-            let _ = others.send(reseed(new));
+            let _ = seeds_queue.send(on_seeds(new));
         }
     });
-    let letters = queue.clone();
+    let message_queue = queue.clone();
     spawn_local(async move {
         loop {
-            let (from, next) = post.next().await;
-            let _ = letters.send(letter(from, Box::new(next)));
+            let (from, message) = socket.receive().await;
+            let _ = message_queue.send(on_message(from, Box::new(message)));
         }
     });
     spawn_local(async move {
-        let mut every = tokio::time::interval(every);
-        every.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut interval = tokio::time::interval(tick_interval);
+        interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            every.tick().await;
-            let _ = queue.send(tick());
+            interval.tick().await;
+            let _ = queue.send(on_tick());
         }
     });
 }
