--- a/crates/beechcroft-lab/src/studies.rs
+++ b/crates/beechcroft-lab/src/comparisons.rs
@@ -1,8 +1,8 @@
 //! `sweep`, `compare`, `report`: one scenario under several values of a key, two values on paired seeds, and what is
 //! kept of a run: tables and charts.
 
-use crate::whole::{head, line, timed};
-use beechcroft_simulator::whole::{play, Report, Scenario};
+use crate::cluster::{head, line, timed};
+use beechcroft_simulator::cluster::{play, Report, Scenario};
 use clap::Args;
 use rand::{RngExt, SeedableRng};
 use rayon::prelude::*;
@@ -69,7 +69,7 @@
             let reports: Vec<Report> = days?.par_iter().map(play).collect();
             let rules: usize = reports
                 .iter()
-                .map(|report| report.verdict.breaches.len())
+                .map(|report| report.verdict.violations.len())
                 .sum();
             let p99 = mean(reports.iter().map(|r| r.verdict.p99_ms as f64));
             println!(
@@ -173,7 +173,7 @@
         let broken: usize = played
             .iter()
             .flatten()
-            .map(|report| report.verdict.breaches.len())
+            .map(|report| report.verdict.violations.len())
             .sum();
         if broken > 0 {
             Err(format!("{broken} rules are broken"))
@@ -202,11 +202,15 @@
         head();
         let mut broken = 0;
         for file in &self.files {
-            let scenario = crate::whole::read(file)?;
+            let scenario = crate::cluster::read(file)?;
             let (report, wall_s) = timed(&scenario);
             line(&scenario, &report, wall_s);
             let verdict = &report.verdict;
-            let rules: Vec<&str> = verdict.breaches.iter().map(|breach| breach.rule).collect();
+            let rules: Vec<&str> = verdict
+                .violations
+                .iter()
+                .map(|violation| violation.rule)
+                .collect();
             broken += rules.len();
             text += &format!(
                 "| {} | {} | {} | {:.2}% | {} | {} | {} |\n",
@@ -225,7 +229,7 @@
             // Tries by the second in which they were sent: all, and those that were answered with a success.
             let mut seconds: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
             for asked in report
-                .wires
+                .history
                 .asked
                 .values()
                 .filter(|asked| asked.route != "probe")
--- a/crates/beechcroft-lab/src/main.rs
+++ b/crates/beechcroft-lab/src/main.rs
@@ -1,30 +1,30 @@
-//! The lab: experiments with relays as processes on loopback. Each prints a table, and one JSON object as its last line;
+//! The lab: experiments with proxies as processes on loopback. Each prints a table, and one JSON object as its last line;
 //! charts and the same table go to a folder. Its figures are this machine's; no verdict of a test hangs on them.
 
 mod chart;
-mod crowd;
+mod cluster;
+mod comparisons;
 mod fleet;
 mod holder;
+mod hot_keys;
 mod idle;
 mod load;
 mod open;
-mod orders;
+mod operator_calls;
+mod outliers;
 mod plan;
 mod probe;
-mod sight;
 mod size;
-mod studies;
 mod ways;
-mod whole;
 
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
 
-/// Counts what the relay allocates where the lab runs one itself; a count and an addition for each call.
+/// Counts what the proxy allocates where the lab runs one itself; a count and an addition for each call.
 #[global_allocator]
 static ALLOCATED: &stats_alloc::StatsAlloc<std::alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
 
-/// Experiments with relays on loopback.
+/// Experiments with proxies on loopback.
 #[derive(Parser)]
 #[command(
     version,
@@ -52,25 +52,25 @@
     /// A key that everyone asks for: how soon it is noticed, over how many units it is spread, what that costs others.
     #[command(after_help = "Examples:
   beechcroft-lab crowd --quick")]
-    Crowd(crowd::Crowd),
-    /// Whether a unit is fit, by what relays of all regions see: how soon, how often wrongly, and who places writes.
+    Crowd(hot_keys::Crowd),
+    /// Whether a unit is fit, by what proxies of all regions see: how soon, how often wrongly, and who places writes.
     #[command(after_help = "Examples:
   beechcroft-lab sight --quick")]
-    Sight(sight::Sight),
-    /// Days of the whole system in the project's own world, judged by its auditor; exit code 1 if a rule is broken.
+    Sight(outliers::Sight),
+    /// Days of the whole system in the project's own world, judged by its checker; exit code 1 if a rule is broken.
     #[command(after_help = "Examples:
   beechcroft-lab run examples/days/calm.toml
   beechcroft-lab run examples/days/*.toml --seed 7")]
-    Run(whole::Run),
+    Run(cluster::Run),
     /// Draws days at random from all faults and looks for a broken rule; exit code 1 if there is one.
     #[command(after_help = "Examples:
   beechcroft-lab search --days 200
   beechcroft-lab search --days 1000 --from 5001 --cores 5 --out found")]
-    Search(whole::Search),
+    Search(cluster::Search),
     /// The fewest events of a scenario that still break the rule.
     #[command(after_help = "Examples:
   beechcroft-lab shrink found/drawn-7.toml --out found/small.toml")]
-    Shrink(whole::Shrink),
+    Shrink(cluster::Shrink),
     /// What each machine spends by the number of edge machines, and how long a change takes to the last of them.
     #[command(after_help = "Examples:
   beechcroft-lab size --quick
@@ -79,19 +79,19 @@
     /// How long an operator waits for an answer: calm, and with a core machine lost.
     #[command(after_help = "Examples:
   beechcroft-lab orders --seeds 10")]
-    Orders(orders::Orders),
+    Orders(operator_calls::Orders),
     /// One scenario under several values of a key.
     #[command(after_help = "Examples:
   beechcroft-lab sweep examples/days/units-crash.toml --set units=4,6,9")]
-    Sweep(studies::Sweep),
+    Sweep(comparisons::Sweep),
     /// Two values of keys on paired seeds, with the interval of the difference.
     #[command(after_help = "Examples:
   beechcroft-lab compare examples/days/units-grey.toml --set verdicts=true --against verdicts=false")]
-    Compare(studies::Compare),
+    Compare(comparisons::Compare),
     /// Scenarios as a table and charts in a folder.
     #[command(after_help = "Examples:
   beechcroft-lab report examples/days/*.toml --out report")]
-    Report(studies::Tell),
+    Report(comparisons::Tell),
     /// How full units are, what more is needed, which loss breaks a deployment first.
     #[command(after_help = "Examples:
   beechcroft-lab plan examples/days/burst.toml
@@ -112,7 +112,7 @@
     Holder { address: std::net::SocketAddr },
     /// Units and discovery.
     Fleet { units: usize },
-    /// A relay whose allocations are counted.
+    /// A proxy whose allocations are counted.
     Relay {
         config: std::path::PathBuf,
         operator: std::path::PathBuf,
--- a/crates/beechcroft-lab/src/open.rs
+++ b/crates/beechcroft-lab/src/open.rs
@@ -1,7 +1,7 @@
 //! `load`: requests at a steady rate against a running edge machine on loopback, each timed from when it was planned,
 //! so that an answer that holds up others counts against it.
 
-use beechcroft_simulator::whole::actors::read_answer;
+use beechcroft_simulator::cluster::http::read_response;
 use beechcroft_transport::connection::Connection;
 use beechcroft_transport::Runtime;
 use clap::Args;
@@ -113,7 +113,7 @@
         "GET {path} HTTP/1.1\r\nHost: {host}\r\nBeechcroft-Attempt-Id: load-{nth}\r\nBeechcroft-Time-Budget: 10000\r\n\r\n"
     );
     line.write(head.as_bytes()).await.ok()?;
-    let (reply, _) = read_answer(&mut line, "GET").await?;
+    let (reply, _) = read_response(&mut line, "GET").await?;
     if !reply.closes {
         idle.borrow_mut().push(line);
     }
--- a/crates/beechcroft-lab/src/plan.rs
+++ b/crates/beechcroft-lab/src/plan.rs
@@ -1,15 +1,15 @@
 //! `plan`: from a scenario's services, traffic and losses, how full units are, what more is needed, which loss breaks
 //! it first. `--check`: its answer against what the world plays over drawn sites.
 
-use beechcroft_simulator::whole::day::SERVICES;
-use beechcroft_simulator::whole::scenario::{Event, What};
-use beechcroft_simulator::whole::{play, Scenario};
+use beechcroft_simulator::cluster::scenario::{Event, What};
+use beechcroft_simulator::cluster::services::SERVICES;
+use beechcroft_simulator::cluster::{play, Scenario};
 use clap::Args;
 use rand::{RngExt, SeedableRng};
 use rayon::prelude::*;
 use std::path::PathBuf;
 
-/// Requests for each look-up (`range::whole::day` sends them so).
+/// Requests for each look-up (`simulator::cluster::run` sends them so).
 const PARTS: [(&str, f64); 3] = [("boards", 1.3), ("ledger", 0.33), ("archive", 0.16)];
 /// Slots that may be busy at most; above that a burst or one lost unit makes requests wait.
 const FULL: f64 = 0.8;
@@ -61,11 +61,11 @@
             .file
             .as_ref()
             .ok_or("a scenario, or --check, is needed")?;
-        let scenario = crate::whole::read(file)?;
+        let scenario = crate::cluster::read(file)?;
         tell(&scenario);
         if let Some(change) = &self.change {
             println!("\nafter the change:");
-            tell(&crate::whole::read(change)?);
+            tell(&crate::cluster::read(change)?);
         }
         Ok(())
     }
@@ -143,7 +143,7 @@
             let report = play(&scenario);
             let from = 8000 + 3000 + 3000;
             let tries = report
-                .wires
+                .history
                 .asked
                 .values()
                 .filter(|a| a.route == "read" && a.at >= from);
--- a/crates/beechcroft-proxy/src/client.rs
+++ b/crates/beechcroft-proxy/src/client.rs
@@ -185,7 +185,14 @@
         self.finish(result, deadline, keep_alive).await
     }
 
+    /// Logs how the request ends, where that is not with a unit's response.
+    fn log_end(&self, kind: ErrorKind) {
+        let id = self.head.attempt_id.as_deref().unwrap_or("-");
+        log::debug!("client: {id} {} ends as {kind:?}.", self.head.target);
+    }
+
     async fn reject(&mut self, kind: ErrorKind, keep_alive: bool) -> bool {
+        self.log_end(kind);
         respond(self.connection, kind, 0, keep_alive).await;
         keep_alive
     }
@@ -195,6 +202,7 @@
             Phase::Starting => ErrorKind::NotReady,
             _ => ErrorKind::ShuttingDown,
         };
+        self.log_end(kind);
         respond(self.connection, kind, NOT_SERVING_RETRY_MS, false).await;
         false
     }
@@ -252,8 +260,7 @@
                 kind,
                 retry_after_ms,
             } => {
-                let id = self.head.attempt_id.as_deref().unwrap_or("-");
-                log::debug!("client: {id} {} ends as {kind:?}.", self.head.target);
+                self.log_end(kind);
                 respond(self.connection, kind, retry_after_ms, keep_alive).await && keep_alive
             }
             ForwardResult::Unit(response) => {
--- /dev/null
+++ b/crates/beechcroft-simulator/src/cluster/client.rs
@@ -0,0 +1,269 @@
+//! Clients of one zone: they resolve the directory, send requests to proxies and retry them as PROTOCOL says.
+
+use super::history::{ClientAttempt, ClientResponse};
+use super::http::{header, read_response};
+use super::world::{World, DIRECTORY};
+use beechcroft_transport::connection::Connection;
+use beechcroft_transport::http_validation;
+use beechcroft_transport::Runtime;
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{sleep, timeout, timeout_at, Instant};
+
+/// Attempts of one request.
+const ATTEMPTS: u32 = 4;
+
+/// What clients of one zone hold in common.
+pub struct Clients {
+    pub zone: String,
+    pub region: String,
+    pub runtime: Runtime,
+    pub found: RefCell<Vec<SocketAddrV4>>,
+    idle: RefCell<BTreeMap<SocketAddrV4, Vec<Connection>>>,
+}
+
+impl Clients {
+    pub fn new(zone: &str, region: &str, runtime: Runtime) -> Clients {
+        let (found, idle) = (RefCell::default(), RefCell::default());
+        Clients {
+            zone: zone.into(),
+            region: region.into(),
+            runtime,
+            found,
+            idle,
+        }
+    }
+
+    /// Asks the directory again and again.
+    pub async fn resolve(self: Rc<Self>, world: Rc<World>) {
+        loop {
+            let path = format!(
+                "/resolve?name=range.example&region={}&zone={}",
+                self.region, self.zone
+            );
+            let mut ttl_s = 1.0;
+            let mut cores = world.cores.borrow().clone();
+            let hosts = |core: &Ipv4Addr| {
+                world
+                    .network
+                    .with()
+                    .hosts
+                    .get(core)
+                    .is_none_or(|host| host.region != self.region)
+            };
+            cores.sort_by_key(hosts);
+            for core in cores.into_iter().take(3) {
+                let to = SocketAddrV4::new(core, DIRECTORY);
+                let ask = ("GET", path.as_str(), "");
+                let done = world
+                    .ask_control(&self.runtime, to, ask, b"", Duration::from_secs(1))
+                    .await;
+                let Some((200, body)) = done else { continue };
+                let Ok(answer) = serde_json::from_slice::<serde_json::Value>(&body) else {
+                    continue;
+                };
+                let addresses = answer["addresses"].as_array().cloned().unwrap_or_default();
+                let found: Vec<SocketAddrV4> = addresses
+                    .iter()
+                    .filter_map(|at| at.as_str()?.parse().ok())
+                    .collect();
+                if found.is_empty() {
+                    continue;
+                }
+                world.reader.set(Some(core));
+                ttl_s = answer["ttlS"].as_f64().unwrap_or(1.0).clamp(0.2, 5.0);
+                self.idle.borrow_mut().retain(|at, _| found.contains(at));
+                *self.found.borrow_mut() = found;
+                break;
+            }
+            sleep(Duration::from_secs_f64(ttl_s)).await;
+        }
+    }
+}
+
+/// A kind of request.
+#[derive(Clone, Debug)]
+pub struct RequestKind {
+    pub route: String,
+    pub prefix: String,
+    pub repeatable: bool,
+    pub deadline_ms: u64,
+    pub body: usize,
+}
+
+/// One request of a client, with its tries.
+pub async fn request(world: Rc<World>, clients: Rc<Clients>, kind: RequestKind) {
+    let request = world.number();
+    let began = world.now();
+    let deadline = began + kind.deadline_ms;
+    let mut failed_at: Option<SocketAddrV4> = None;
+    for try_ in 0..ATTEMPTS {
+        let left = deadline.saturating_sub(world.now());
+        if left < 20 {
+            return;
+        }
+        let found = clients.found.borrow().clone();
+        let usable: Vec<SocketAddrV4> = found
+            .iter()
+            .copied()
+            .filter(|at| Some(*at) != failed_at || found.len() == 1)
+            .collect();
+        if usable.is_empty() {
+            sleep(Duration::from_millis(200)).await;
+            continue;
+        }
+        let to = usable[(world.draw() * usable.len() as f64) as usize % usable.len()];
+        let id = format!("{:08x}{try_:02x}", request);
+        let method = if kind.repeatable { "GET" } else { "POST" };
+        let asked = ClientAttempt {
+            at: world.now(),
+            request,
+            try_,
+            route: kind.route.clone(),
+            method,
+            path: format!("{}{:x}", kind.prefix, request % 512),
+            body: vec![b'a' + (request % 26) as u8; if kind.repeatable { 0 } else { kind.body }],
+            repeatable: kind.repeatable,
+            edge: world.name_of(*to.ip()),
+            region: clients.region.clone(),
+            deadline,
+            answer: None,
+        };
+        world
+            .history
+            .borrow_mut()
+            .asked
+            .insert(id.clone(), asked.clone());
+        let answer = send_attempt(&world, &clients, to, &id, &asked, left).await;
+        let status = answer.status;
+        let back = answer.retry_after;
+        if !kind.repeatable && status == Some(200) {
+            world.taken.set(world.taken.get() + 1);
+        }
+        if let Some(asked) = world.history.borrow_mut().asked.get_mut(&id) {
+            asked.answer = Some(answer);
+        }
+        let again = match status {
+            Some(200..=299 | 400 | 401 | 404 | 413 | 431) => false,
+            Some(408 | 421 | 429 | 503) => true,
+            _ => kind.repeatable,
+        };
+        if !again {
+            return;
+        }
+        if status.is_none() {
+            failed_at = Some(to);
+        }
+        let left = deadline.saturating_sub(world.now()) as f64;
+        let wait = back.map_or(0.0, |s| s * 1000.0).min(left / 3.0) + world.draw() * 30.0;
+        sleep(Duration::from_millis(wait as u64)).await;
+    }
+}
+
+/// One request to one edge machine.
+pub async fn ask_at(
+    world: &Rc<World>,
+    clients: &Rc<Clients>,
+    kind: &RequestKind,
+    to: SocketAddrV4,
+) -> Option<u16> {
+    let request = world.number();
+    let id = format!("{request:08x}00");
+    let asked = ClientAttempt {
+        at: world.now(),
+        request,
+        try_: 0,
+        route: kind.route.clone(),
+        method: "GET",
+        path: format!("{}{:x}", kind.prefix, request % 512),
+        body: Vec::new(),
+        repeatable: true,
+        edge: world.name_of(*to.ip()),
+        region: clients.region.clone(),
+        deadline: world.now() + kind.deadline_ms,
+        answer: None,
+    };
+    world
+        .history
+        .borrow_mut()
+        .asked
+        .insert(id.clone(), asked.clone());
+    let answer = send_attempt(world, clients, to, &id, &asked, kind.deadline_ms).await;
+    let status = answer.status;
+    if let Some(asked) = world.history.borrow_mut().asked.get_mut(&id) {
+        asked.answer = Some(answer);
+    }
+    status
+}
+
+async fn send_attempt(
+    world: &Rc<World>,
+    clients: &Rc<Clients>,
+    to: SocketAddrV4,
+    id: &str,
+    asked: &ClientAttempt,
+    left: u64,
+) -> ClientResponse {
+    let end = Instant::now() + Duration::from_millis(left);
+    let none = |written: bool, gave_up: bool| ClientResponse {
+        at: world.now(),
+        status: None,
+        seal: None,
+        body: Vec::new(),
+        id: None,
+        retry_after: None,
+        written,
+        gave_up,
+    };
+    let kept = clients.idle.borrow_mut().get_mut(&to).and_then(Vec::pop);
+    let kept = kept.filter(Connection::is_clean);
+    let mut line = match kept {
+        Some(line) => line,
+        None => match timeout(Duration::from_secs(1), clients.runtime.connect(to)).await {
+            Ok(Ok(stream)) => Connection::new(stream),
+            _ => return none(false, false),
+        },
+    };
+    let length = if asked.repeatable {
+        String::new()
+    } else {
+        format!("Content-Length: {}\r\n", asked.body.len())
+    };
+    let head = format!(
+        "{} {} HTTP/1.1\r\nHost: range.example\r\nBeechcroft-Attempt-Id: {id}\r\nBeechcroft-Time-Budget: {left}\r\n{length}\r\n",
+        asked.method, asked.path
+    );
+    let mut bytes = head.into_bytes();
+    bytes.extend(&asked.body);
+    if line.write(&bytes).await.is_err() {
+        return none(false, false);
+    }
+    let Ok(read) = timeout_at(end, read_response(&mut line, asked.method)).await else {
+        return none(true, true);
+    };
+    let Some((reply, body)) = read else {
+        return none(true, false);
+    };
+    let text = String::from_utf8_lossy(&reply.forwarded_headers).into_owned();
+    let answered = ClientResponse {
+        at: world.now(),
+        status: Some(reply.status),
+        seal: header(&text, "beechcroft-server-seal").map(str::to_owned),
+        body,
+        id: reply.attempt_id.clone(),
+        retry_after: header(&text, "retry-after").and_then(|s| s.parse().ok()),
+        written: true,
+        gave_up: false,
+    };
+    if !reply.closes && reply.framing != Some(http_validation::Framing::UntilClose) {
+        if !line.unread().is_empty() {
+            world.history.borrow_mut().unasked_answers += 1;
+        } else {
+            clients.idle.borrow_mut().entry(to).or_default().push(line);
+        }
+    }
+    answered
+}
--- a/crates/beechcroft-simulator/src/whole/wires.rs
+++ b/crates/beechcroft-simulator/src/cluster/history.rs
@@ -1,10 +1,10 @@
-//! What crossed the wires: all that the auditor knows. Times are milliseconds since the world's beginning.
+//! What crossed the network: all that the checker knows. Times are milliseconds since the world's beginning.
 
 use std::collections::BTreeMap;
 
 /// A try of a client: each carries an id of its own.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct ClientAttempt {
     pub at: u64,
     /// The client's request that it is a try of, and which try.
     pub request: u64,
@@ -18,11 +18,11 @@
     pub edge: String,
     pub region: String,
     pub deadline: u64,
-    pub answer: Option<Answered>,
+    pub answer: Option<ClientResponse>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answered {
+pub struct ClientResponse {
     pub at: u64,
     /// None: the connection closed, or was given up, with no whole answer.
     pub status: Option<u16>,
@@ -38,7 +38,7 @@
 
 /// What came to a unit.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Came {
+pub struct EndpointRequest {
     pub at: u64,
     pub unit: String,
     pub edge: String,
@@ -60,14 +60,14 @@
 
 /// A unit's life.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Life {
+pub struct EndpointLifetime {
     pub service: String,
     pub version: String,
     pub zone: String,
     pub region: String,
     pub began: u64,
     pub ended: Option<u64>,
-    /// When a hut acknowledged that it leaves.
+    /// When a control node acknowledged that it leaves.
     pub left_acked: Option<u64>,
     /// Of the service's configuration: requests a second that it bears while cold.
     pub bears: f64,
@@ -142,23 +142,23 @@
     pub said: String,
 }
 
-/// What a hut was asked by a unit, an operator or a client, and what it answered.
+/// What a control node was asked by a unit, an operator or a client, and what it answered.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Said {
-    pub hut: String,
+pub struct ControlExchange {
+    pub control_node: String,
     pub at: u64,
     pub until: u64,
-    /// Method and path; a beat that tells of a drain ends in ` draining`.
+    /// Method and path; a heartbeat that tells of a drain ends in ` draining`.
     pub what: String,
     /// None: no whole answer in time.
     pub status: Option<u16>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Wires {
-    pub asked: BTreeMap<String, Asked>,
-    pub came: Vec<Came>,
-    pub units: BTreeMap<String, Life>,
+pub struct History {
+    pub asked: BTreeMap<String, ClientAttempt>,
+    pub came: Vec<EndpointRequest>,
+    pub units: BTreeMap<String, EndpointLifetime>,
     pub configs: Vec<Sent>,
     pub orders: Vec<Order>,
     pub troubles: Vec<Trouble>,
@@ -178,7 +178,7 @@
     pub closing: Option<u64>,
     /// Successes on connections where no request was waiting.
     pub unasked_answers: u64,
-    pub said: Vec<Said>,
+    pub said: Vec<ControlExchange>,
     /// Edge machine, start of its process, when it first said that it is ready: if the scenario asks for it.
     pub ready: Vec<(String, u64, u64)>,
 }
--- /dev/null
+++ b/crates/beechcroft-simulator/src/cluster/mod.rs
@@ -0,0 +1,21 @@
+//! The whole system in a world: the programs as they run, on simulated machines, under an checker.
+
+pub mod checker;
+pub mod client;
+pub mod disk;
+pub mod generator;
+pub mod history;
+pub mod http;
+pub mod mutants;
+pub mod network;
+pub mod process;
+pub mod response_faults;
+pub mod run;
+pub mod scenario;
+pub mod services;
+pub mod unit;
+pub mod world;
+
+pub use checker::{Verdict, Violation};
+pub use run::{play, run_manually, ManualRun, Report};
+pub use scenario::Scenario;
--- a/crates/beechcroft-simulator/src/whole/day/hand.rs
+++ b/crates/beechcroft-simulator/src/cluster/run/manual.rs
@@ -9,19 +9,19 @@
 
 /// The operator's hand.
 #[derive(Clone)]
-pub struct Hand(Rc<Day>);
+pub struct ManualRun(Rc<ClusterRun>);
 
 /// Lets machines and units stand for as long as `play` lasts. The first configuration is not given.
-pub fn by_hand<T, F>(scenario: &Scenario, play: impl FnOnce(Hand) -> F) -> T
+pub fn run_manually<T, F>(scenario: &Scenario, play: impl FnOnce(ManualRun) -> F) -> T
 where
     F: std::future::Future<Output = T>,
 {
     in_world(scenario, |scenario| async move {
-        play(Hand(stand(scenario))).await
+        play(ManualRun(stand(scenario))).await
     })
 }
 
-impl Hand {
+impl ManualRun {
     pub fn now(&self) -> u64 {
         self.0.now()
     }
@@ -31,7 +31,7 @@
     }
 
     fn to(&self, core: usize) -> SocketAddrV4 {
-        let cores = self.0.stage.cores.borrow();
+        let cores = self.0.world.cores.borrow();
         SocketAddrV4::new(cores[core % cores.len()], CONTROL)
     }
 
@@ -44,9 +44,9 @@
         body: &[u8],
         within_ms: u64,
     ) -> Heard {
-        let ground = Runtime::simulated(Rc::new(self.0.stage.fabric.seat(operator())));
+        let runtime = Runtime::simulated(Rc::new(self.0.world.network.seat(operator())));
         call(
-            &ground,
+            &runtime,
             self.to(core),
             method,
             path,
@@ -74,7 +74,7 @@
         path: &str,
         body: &[u8],
     ) -> Option<u16> {
-        let cores = self.0.stage.cores.borrow().len();
+        let cores = self.0.world.cores.borrow().len();
         let mut pause = 100;
         for nth in 0..30 {
             let within = 1000 + body.len() as u64 / 100;
@@ -107,11 +107,11 @@
         body.to_string().into_bytes()
     }
 
-    /// What a relay asks of a core machine, by hand.
+    /// What a proxy asks of a core machine, by hand.
     async fn inside(&self, core: usize, path: &str, body: &[u8]) -> Option<Vec<u8>> {
-        let ground = Runtime::simulated(Rc::new(self.0.stage.fabric.seat(operator())));
+        let runtime = Runtime::simulated(Rc::new(self.0.world.network.seat(operator())));
         let to = SocketAddrV4::new(*self.to(core).ip(), INSIDE[0]);
-        let heard = call(&ground, to, "POST", path, body, Duration::from_secs(1)).await;
+        let heard = call(&runtime, to, "POST", path, body, Duration::from_secs(1)).await;
         heard.filter(|heard| heard.0 == 200).map(|heard| heard.1)
     }
 
--- a/crates/beechcroft-simulator/src/whole/day/watch.rs
+++ b/crates/beechcroft-simulator/src/cluster/run/membership_watch.rs
@@ -7,9 +7,9 @@
 
 const EVERY_MS: u64 = 50;
 
-impl Day {
+impl ClusterRun {
     pub(super) async fn watches(self: Rc<Self>) {
-        let ground = Runtime::simulated(Rc::new(self.stage.fabric.seat(operator())));
+        let runtime = Runtime::simulated(Rc::new(self.world.network.seat(operator())));
         loop {
             let cores: Vec<Rc<Machine>> = self
                 .machines
@@ -19,11 +19,11 @@
                 .cloned()
                 .collect();
             for core in cores {
-                let (day, ground) = (self.clone(), ground.clone());
+                let (day, runtime) = (self.clone(), runtime.clone());
                 spawn_local(async move {
                     let to = SocketAddrV4::new(core.ip, INSIDE[0]);
                     let within = Duration::from_millis(400);
-                    let Some((_, body)) = call(&ground, to, "POST", "/show", b"", within).await
+                    let Some((_, body)) = call(&runtime, to, "POST", "/show", b"", within).await
                     else {
                         return;
                     };
--- a/crates/beechcroft-simulator/src/whole/scenario.rs
+++ b/crates/beechcroft-simulator/src/cluster/scenario.rs
@@ -1,9 +1,9 @@
 //! A day of the world's own, as a file says it: what stands there, what is planned, what goes wrong. Read with its
 //! checks; a fault is named by key and line.
 
-use super::disk::Sync;
-use super::fabric::CutHow;
-use super::wrongs::Wrong;
+use super::disk::SyncFailure;
+use super::network::PartitionKind;
+use super::response_faults::ResponseFault;
 use garde::Validate;
 use serde::{Deserialize, Serialize};
 
@@ -72,7 +72,7 @@
     /// Each edge machine is asked from its start on until it is ready, to see how long that takes.
     #[serde(default)]
     pub starts: bool,
-    /// By number: letters that are lost, syncs that do something else.
+    /// By number: datagrams that are lost, syncs that do something else.
     #[serde(default)]
     pub lost_letters: Vec<u64>,
     #[serde(default)]
@@ -80,7 +80,7 @@
     #[serde(default)]
     #[garde(dive)]
     pub event: Vec<Event>,
-    /// Of the system's parts, one that is broken: the auditor must find it.
+    /// Of the system's parts, one that is broken: the checker must find it.
     #[serde(default)]
     pub mutant: Option<Mutant>,
     /// Of the control side's guards, one that is taken out of the programs' own text: tests must find it missing.
@@ -92,7 +92,7 @@
 #[serde(deny_unknown_fields)]
 pub struct SyncFault {
     pub number: u64,
-    pub does: Sync,
+    pub does: SyncFailure,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
@@ -172,7 +172,7 @@
         by: Meets,
         what: Box<What>,
     },
-    /// Two of them at once on the same version, sent to different huts.
+    /// Two of them at once on the same version, sent to different control nodes.
     Race,
     /// Two of them at once, different ones under the same number.
     Twins,
@@ -229,7 +229,7 @@
         count: usize,
         for_s: f64,
         part: f64,
-        wrong: Wrong,
+        wrong: ResponseFault,
     },
     /// Units lose power without a word, and come back at their addresses under other names.
     Dark {
@@ -293,7 +293,7 @@
         #[serde(default)]
         one_way: bool,
         #[serde(default)]
-        how: CutHow,
+        how: PartitionKind,
     },
     SlowDisk {
         on: String,
@@ -397,7 +397,7 @@
     FalsePromises,
     /// Proper requests are answered 403.
     Denies,
-    /// News among relays never come: drains, evacuations, configurations.
+    /// News among proxies never come: drains, evacuations, configurations.
     NoNews,
     /// Requests are broken off at SIGTERM.
     HastyEnds,
@@ -413,7 +413,7 @@
     StaysThere,
     /// Disks say that they have synced and have not.
     LyingDisks,
-    /// A relay goes back to an older configuration.
+    /// A proxy goes back to an older configuration.
     GoesBack,
     /// Two configurations on the same version are both acknowledged.
     BothWin,
@@ -421,9 +421,9 @@
     StaysDown,
     /// Requests go to units whose address another service has now, without naming the unit.
     AnyUnit,
-    /// A hut takes a configuration once, and refuses it when it is sent again.
+    /// A control node takes a configuration once, and refuses it when it is sent again.
     TakesOnce,
-    /// A hut is silent to every order.
+    /// A control node is silent to every order.
     Mute,
     /// A task of an edge panics; the others go on.
     Panics,
@@ -482,7 +482,11 @@
     }
 
     fn check(&self, event: &Event) -> Result<(), String> {
-        let known = |service: &str| super::day::SERVICES.iter().any(|held| held.0 == service);
+        let known = |service: &str| {
+            super::services::SERVICES
+                .iter()
+                .any(|held| held.0 == service)
+        };
         let service = match &event.what {
             What::Rollout { service, .. }
             | What::Drain { service, .. }
--- /dev/null
+++ b/crates/beechcroft-simulator/src/cluster/services.rs
@@ -0,0 +1,8 @@
+//! The services of every scenario.
+
+/// Service, mean work in ms, bytes of an answer, requests a second that a cold unit bears.
+pub const SERVICES: [(&str, f64, usize, f64); 3] = [
+    ("boards", 50.0, 300, 3.0),
+    ("ledger", 70.0, 200, 3.0),
+    ("archive", 50.0, 20_000, 3.0),
+];
--- /dev/null
+++ b/crates/beechcroft-simulator/src/cluster/world.rs
@@ -0,0 +1,122 @@
+//! What units, clients and operators of one run share: the network, the random numbers and the history that the
+//! checker reads.
+
+use super::history::{ControlExchange, History};
+use super::http::call_with_location;
+use super::network::Network;
+use beechcroft_transport::Runtime;
+use rand::{RngExt, SeedableRng};
+use rand_distr::{Distribution, Exp1};
+use rand_pcg::Pcg64Mcg;
+use std::cell::{Cell, RefCell};
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// The port of a unit.
+pub const UNIT_PORT: u16 = 8080;
+/// The port that control nodes serve units and operators on.
+pub const CONTROL: u16 = 8544;
+/// The port that control nodes serve the directory on.
+pub const DIRECTORY: u16 = 8546;
+/// The port that proxies serve clients on.
+pub const INGRESS: u16 = 8548;
+/// The port that proxies serve their readiness on.
+pub const READY: u16 = 8542;
+
+/// What all actors share.
+pub struct World {
+    pub network: Network,
+    pub began: Instant,
+    pub history: RefCell<History>,
+    pub cores: RefCell<Vec<Ipv4Addr>>,
+    pub rng: RefCell<Pcg64Mcg>,
+    pub next: Cell<u64>,
+    /// Writes of clients that were answered with success.
+    pub taken: Cell<u64>,
+    /// The core machine whose directory was read last.
+    pub reader: Cell<Option<Ipv4Addr>>,
+}
+
+impl World {
+    /// A world without any machine in it.
+    pub fn new(network: Network, seed: u64) -> Rc<World> {
+        Rc::new(World {
+            network,
+            began: Instant::now(),
+            history: RefCell::default(),
+            cores: RefCell::default(),
+            rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed ^ 0x57a6e)),
+            next: Cell::new(0),
+            taken: Cell::new(0),
+            reader: Cell::new(None),
+        })
+    }
+
+    pub fn now(&self) -> u64 {
+        self.began.elapsed().as_millis() as u64
+    }
+
+    pub fn number(&self) -> u64 {
+        self.next.set(self.next.get() + 1);
+        self.next.get()
+    }
+
+    pub fn draw(&self) -> f64 {
+        self.rng.borrow_mut().random()
+    }
+
+    /// Exponential, with that mean.
+    pub fn exp(&self, mean: f64) -> f64 {
+        let draw: f64 = Exp1.sample(&mut *self.rng.borrow_mut());
+        draw * mean
+    }
+
+    /// Asks a control node, and writes down what it said. `also`: what the path does not tell.
+    pub async fn ask_control(
+        &self,
+        runtime: &Runtime,
+        to: SocketAddrV4,
+        ask: (&str, &str, &str),
+        body: &[u8],
+        within: Duration,
+    ) -> Option<(u16, Vec<u8>)> {
+        self.ask_control_at(runtime, to, ask, body, within)
+            .await
+            .map(|(status, body, _)| (status, body))
+    }
+
+    /// The same, with where it sends its caller on to.
+    pub async fn ask_control_at(
+        &self,
+        runtime: &Runtime,
+        to: SocketAddrV4,
+        ask: (&str, &str, &str),
+        body: &[u8],
+        within: Duration,
+    ) -> Option<(u16, Vec<u8>, Option<String>)> {
+        let (method, path, also) = ask;
+        let at = self.now();
+        let answer = call_with_location(runtime, to, method, path, body, within).await;
+        let said = ControlExchange {
+            control_node: self.name_of(*to.ip()),
+            at,
+            until: self.now(),
+            what: format!("{method} {path}{also}"),
+            status: answer.as_ref().map(|answer| answer.0),
+        };
+        self.history.borrow_mut().said.push(said);
+        answer
+    }
+
+    /// The name of the machine with that address.
+    pub(super) fn name_of(&self, ip: Ipv4Addr) -> String {
+        self.network
+            .with()
+            .hosts
+            .get(&ip)
+            .map(|host| host.name.clone())
+            .unwrap_or_default()
+    }
+}
