--- a/crates/beechcroft-simulator/tests/readers.rs
+++ b/crates/beechcroft-simulator/tests/parsers.rs
@@ -4,7 +4,7 @@
 use beechcroft_config::{Config, Settings};
 use beechcroft_consensus::{PerRegister, Revision};
 use beechcroft_gossip::{MemberState, Message, QuorumReadAge, Sender, SettledTables, TableDigests};
-use beechcroft_simulator::whole::Scenario;
+use beechcroft_simulator::cluster::Scenario;
 use beechcroft_transport::http_validation::{self, Parsed};
 
 const ASK: &[u8] =
