--- a/crates/beechcroft-adapter/src/main.rs
+++ b/crates/beechcroft-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts one [`Relay`] for each `who` of the bench's wire: framing, names and numbers, nothing else.
+//! Hosts one [`Relay`](beechcroft::decide::Relay) for each `who` of the bench's wire: framing, names and numbers, nothing else.
 
 mod wire;
 
--- a/crates/beechcroft-operator/src/table.rs
+++ b/crates/beechcroft-operator/src/table.rs
@@ -19,7 +19,7 @@
     pub text: &'static str,
 }
 
-/// A table whose keys are stated with [`table!`].
+/// A table whose keys are stated with `table!`.
 pub trait Table: Sized {
     const TITLE: &'static str;
     /// What serde reads: each key if it is there, with its place.
--- a/crates/beechcroft-simulator/src/cluster/process.rs
+++ b/crates/beechcroft-simulator/src/cluster/process.rs
@@ -22,7 +22,7 @@
     began: Instant,
 }
 
-/// From here to [`watched`] panics on this thread are written down.
+/// From here to [`watched_logs`] panics on this thread are written down.
 pub fn watch() {
     static HOOK: Once = Once::new();
     HOOK.call_once(|| {
--- a/crates/beechcroft-simulator/src/cluster/run.rs
+++ b/crates/beechcroft-simulator/src/cluster/run.rs
@@ -19,7 +19,7 @@
 use super::process::{self, Process};
 use super::scenario::{Event, Mutant, Scenario, What};
 use super::services::SERVICES;
-use super::unit::{self, Impairment, Unit};
+use super::unit::{self, Impairment, Unit, UnitSpec};
 use super::world::{World, CONTROL, DIRECTORY, INGRESS, READY};
 use beechcroft_config::ServiceDefaults;
 use beechcroft_config::Settings;
@@ -538,16 +538,16 @@
             &region,
             &zone,
         );
-        let unit = Rc::new(Unit::new(
-            id.clone(),
-            service,
-            version,
-            &zone,
+        let unit = Rc::new(Unit::new(UnitSpec {
+            id: id.clone(),
+            service: service.to_owned(),
+            version: version.to_owned(),
+            zone: zone.clone(),
             ip,
-            self.scenario.slots,
-            work,
-            bytes,
-        ));
+            slots: self.scenario.slots,
+            work_ms: work,
+            response_bytes: bytes,
+        }));
         *unit.impairment.borrow_mut() = ill;
         if cold {
             unit.cold_until.set(self.now() + COLD_MS);
--- a/crates/beechcroft-simulator/src/cluster/run/events.rs
+++ b/crates/beechcroft-simulator/src/cluster/run/events.rs
@@ -1,5 +1,6 @@
 //! What a scenario plans and lets go wrong, event by event.
 
+use super::faults::Strike;
 use super::*;
 
 impl ClusterRun {
@@ -346,8 +347,16 @@
                 down_s,
                 closing,
             } => {
-                day.strike(&on, after, wait_ms, power, wipe, down_s, closing)
-                    .await
+                let strike = Strike {
+                    on,
+                    after,
+                    wait_ms,
+                    power,
+                    wipe,
+                    down_s,
+                    closing,
+                };
+                day.strike(strike).await
             }
             What::Closing { power, wipe } => day.closing(power, wipe).await,
         }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,5 +1,5 @@
 //! All decisions of a relay: [`Relay::clock`] and the method of what happened in, [`Actions`] out. A task runs
-//! through [`CHAIN`], in and out; [`Relay::permits`] is the one gate, [`Relay::close`] the one end.
+//! through `CHAIN`, in and out; `Relay::permits` is the one gate, `Relay::close` the one end.
 
 mod choose;
 mod judge;
@@ -111,6 +111,8 @@
         &mut self.fleet
     }
 
+    // Called at one place, from the event that has the same fields.
+    #[allow(clippy::too_many_arguments)]
     pub fn task_taken(
         &mut self,
         id: TaskId,
--- a/src/state.rs
+++ b/src/state.rs
@@ -625,6 +625,8 @@
             .for_each(|unit| unit.listed = false);
     }
 
+    // Called at one place, from the line of the list that has the same fields.
+    #[allow(clippy::too_many_arguments)]
     pub fn entry(
         &mut self,
         id: UnitId,
