--- a/crates/beechcroft-resp/src/lib.rs
+++ b/crates/beechcroft-resp/src/lib.rs
@@ -1,6 +1,9 @@
 //! RESP2 and RESP3, for both sides of a connection. Messages are cut out of the stream by a scanner that goes on where it
 //! stopped and keeps to bounds, so that neither a deep nor a huge message costs more than it may; a whole message is then
 //! decoded by `redis-protocol` into a small [`Value`]. Source: the published RESP specification.
+//!
+//! No program uses this package yet: it is the part of a shared store that stands, kept until the relay uses it
+//! (`docs/ROADMAP.md`, "Redis as a shared store").
 
 mod scan;
 
--- a/crates/beechcroft-shared/src/lib.rs
+++ b/crates/beechcroft-shared/src/lib.rs
@@ -2,6 +2,9 @@
 //! marks of what may have run, and
 //! when the store is not worth waiting for. Nothing here is needed to keep the rules; what the store says can make a relay
 //! more careful, and less so only by a budget that another relay gave up before.
+//!
+//! No program uses this package yet: it is the part of a shared store that stands, kept until the relay uses it
+//! (`docs/ROADMAP.md`, "Redis as a shared store").
 
 pub mod breaker;
 pub mod escrow;
--- a/crates/beechcroft-simulator/src/cluster/run.rs
+++ b/crates/beechcroft-simulator/src/cluster/run.rs
@@ -3,9 +3,12 @@
 
 mod events;
 mod faults;
+mod machine_events;
 mod manual;
 pub mod membership_watch;
 mod operator;
+mod operator_events;
+mod unit_events;
 
 pub use manual::{run_manually, ManualRun};
 
@@ -15,7 +18,7 @@
 use super::history::{self, EndpointLifetime, Order, Sent, Trouble};
 use super::http::call;
 use super::mutants;
-use super::network::{Counts, Cut, Host, Network};
+use super::network::{Counts, Cut, Host, Network, PartitionKind};
 use super::process::{self, Process};
 use super::scenario::{Event, Mutant, Scenario, What};
 use super::services::SERVICES;
--- a/crates/beechcroft-store/src/lib.rs
+++ b/crates/beechcroft-store/src/lib.rs
@@ -1,6 +1,9 @@
 //! Follows a shared store: one connection, pipelined. What is asked goes out in batches, each with a nonce that its last
 //! reply has to bring back, and a claim's reply names the claim; where either fails, replies have been lost, repeated or
 //! swapped, the connection is given up, and all that was open on it is unknown. Nobody waits here for longer than asked.
+//!
+//! No program uses this package yet: it is the part of a shared store that stands, kept until the relay uses it
+//! (`docs/ROADMAP.md`, "Redis as a shared store").
 
 mod claim;
 mod link;
