--- a/crates/beechcroft-simulator/src/cluster/checker.rs
+++ b/crates/beechcroft-simulator/src/cluster/checker.rs
@@ -9,22 +9,39 @@
 /// Figures of the rules, in ms and parts.
 #[derive(Clone, Debug)]
 pub struct Bounds {
+    /// How long after a fault a machine still counts as out of touch.
     pub contact_ms: u64,
+    /// Until a configuration that was acknowledged is in force at every proxy in touch.
     pub apply_ms: u64,
+    /// Until an operation is acknowledged in a settled time.
     pub ack_ms: u64,
+    /// For this long an older configuration may still show after a newer one.
     pub revert_ms: u64,
+    /// Until no request goes to a unit whose drain was acknowledged.
     pub drain_ms: u64,
+    /// Until no request goes to a zone whose evacuation was acknowledged.
     pub evacuate_ms: u64,
+    /// Until a version that was voted back gets no request.
     pub rollback_ms: u64,
+    /// How long after SIGTERM a proxy may take to end its requests.
     pub grace_ms: u64,
+    /// An attempt that ends this soon without having reached a unit needs no excuse.
     pub loss_slack_ms: u64,
+    /// Until requests are served again after a loss of power.
     pub recovery_ms: u64,
+    /// Retries for each request, over the window.
     pub retry_budget: f64,
+    /// The window of the retry budget.
     pub retry_window_ms: u64,
+    /// Retries beyond the budget, over the window.
     pub retry_extra: f64,
+    /// Part of a service's requests that a bad version may get.
     pub canary_share: f64,
+    /// Requests beyond that part.
     pub canary_margin: f64,
+    /// Times the rate that a cold unit bears that it may get.
     pub warmup_excess: f64,
+    /// Requests beyond that rate.
     pub warmup_margin: f64,
 }
 
@@ -55,22 +72,28 @@
 /// A rule that was broken, how often, and one case of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
+    /// The rule, by its name in RULES.
     pub rule: &'static str,
+    /// How often it was broken.
     pub times: usize,
+    /// The way of one request or operation that broke it.
     pub story: String,
 }
 
 /// What became of the day.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
+    /// Rules that were broken.
     pub violations: Vec<Violation>,
     /// Requests (not tries), and those that were served.
     pub requests: usize,
+    /// Requests that were served.
     pub served: usize,
     /// Good versions that did not complete, bad ones that were not reverted.
     pub duties_missed: Vec<String>,
     /// Milliseconds of served requests from their first try: 50th and 99th of a hundred.
     pub p50_ms: u64,
+    /// The 99th percentile of the same.
     pub p99_ms: u64,
 }
 
@@ -91,6 +114,7 @@
     found: BTreeMap<&'static str, Violation>,
 }
 
+/// Checks every rule against what clients, units and operators saw.
 pub fn check_history(history: &History, bounds: &Bounds) -> Verdict {
     let mut runs: BTreeMap<&str, Vec<&EndpointRequest>> = BTreeMap::new();
     for came in &history.came {
--- a/crates/beechcroft-simulator/src/cluster/client.rs
+++ b/crates/beechcroft-simulator/src/cluster/client.rs
@@ -18,14 +18,19 @@
 
 /// What clients of one zone hold in common.
 pub struct Clients {
+    /// Their zone.
     pub zone: String,
+    /// Its region.
     pub region: String,
+    /// The network as their machine sees it.
     pub runtime: Runtime,
+    /// Addresses of proxies, as the directory named them last.
     pub found: RefCell<Vec<SocketAddrV4>>,
     idle: RefCell<BTreeMap<SocketAddrV4, Vec<Connection>>>,
 }
 
 impl Clients {
+    /// Clients that have resolved nothing yet.
     pub fn new(zone: &str, region: &str, runtime: Runtime) -> Clients {
         let (found, idle) = (RefCell::default(), RefCell::default());
         Clients {
@@ -87,10 +92,15 @@
 /// A kind of request.
 #[derive(Clone, Debug)]
 pub struct RequestKind {
+    /// The name of the route that it takes.
     pub route: String,
+    /// The beginning of its path.
     pub prefix: String,
+    /// Whether it may be executed more than once.
     pub repeatable: bool,
+    /// How long the client waits, in milliseconds.
     pub deadline_ms: u64,
+    /// Bytes of its body.
     pub body: usize,
 }
 
--- a/crates/beechcroft-simulator/src/cluster/disk.rs
+++ b/crates/beechcroft-simulator/src/cluster/disk.rs
@@ -24,12 +24,15 @@
     Lies,
 }
 
+/// The records that last.
 pub type Table = BTreeMap<String, Vec<u8>>;
 
+/// What a disk holds, and what it is doing.
 #[derive(Default)]
 pub struct State {
     /// What lasts.
     pub table: Table,
+    /// How long a sync takes, in milliseconds.
     pub sync_ms: u64,
     /// Of the syncs that are under way: each may last or not if power goes.
     pending: BTreeMap<u64, Records>,
@@ -43,6 +46,7 @@
 /// A machine's disk; it stays when processes end.
 #[derive(Clone)]
 pub struct MachineDisk {
+    /// What it holds.
     pub state: Rc<RefCell<State>>,
     network: Network,
     /// By number of the sync.
@@ -54,6 +58,7 @@
 }
 
 impl MachineDisk {
+    /// An empty disk.
     pub fn new(
         network: &Network,
         sync_ms: u64,
--- a/crates/beechcroft-simulator/src/cluster/history.rs
+++ b/crates/beechcroft-simulator/src/cluster/history.rs
@@ -5,30 +5,46 @@
 /// A try of a client: each carries an id of its own.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientAttempt {
+    /// When, in milliseconds.
     pub at: u64,
     /// The client's request that it is a try of, and which try.
     pub request: u64,
+    /// Which attempt of the request, from 0.
     pub try_: u32,
+    /// The name of its route.
     pub route: String,
+    /// The method.
     pub method: &'static str,
+    /// The path.
     pub path: String,
+    /// The body.
     pub body: Vec<u8>,
+    /// Whether it may be executed more than once.
     pub repeatable: bool,
     /// The edge machine that it went to, and where the client is.
     pub edge: String,
+    /// The region.
     pub region: String,
+    /// When its client gives up, in milliseconds.
     pub deadline: u64,
+    /// How it ended, once it has.
     pub answer: Option<ClientResponse>,
 }
 
+/// How an attempt ended, as its client saw it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientResponse {
+    /// When, in milliseconds.
     pub at: u64,
     /// None: the connection closed, or was given up, with no whole answer.
     pub status: Option<u16>,
+    /// The unit's seal.
     pub seal: Option<String>,
+    /// The body.
     pub body: Vec<u8>,
+    /// The attempt's id.
     pub id: Option<String>,
+    /// `Retry-After`, in seconds.
     pub retry_after: Option<f64>,
     /// The whole request had been read off the connection, as far as the client can tell: it was written whole.
     pub written: bool,
@@ -39,12 +55,19 @@
 /// What came to a unit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRequest {
+    /// When, in milliseconds.
     pub at: u64,
+    /// The unit.
     pub unit: String,
+    /// The proxy that sent it.
     pub edge: String,
+    /// The attempt's id.
     pub id: String,
+    /// The method.
     pub method: String,
+    /// The path.
     pub path: String,
+    /// The body.
     pub body: Vec<u8>,
     /// Whether the unit began to work on it; one that is turned away is not run.
     pub ran: bool,
@@ -61,11 +84,17 @@
 /// A unit's life.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointLifetime {
+    /// The service.
     pub service: String,
+    /// The version.
     pub version: String,
+    /// The zone.
     pub zone: String,
+    /// The region.
     pub region: String,
+    /// When it began, in milliseconds.
     pub began: u64,
+    /// When it ended, in milliseconds.
     pub ended: Option<u64>,
     /// When a control node acknowledged that it leaves.
     pub left_acked: Option<u64>,
@@ -76,15 +105,21 @@
 /// A configuration that an operator sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sent {
+    /// The version.
     pub version: u32,
+    /// The version that it builds on.
     pub base: u32,
+    /// When, in milliseconds.
     pub at: u64,
+    /// When it was acknowledged, in milliseconds.
     pub acked: Option<u64>,
     /// Ended by a 4xx.
     pub refused: Option<u16>,
+    /// Whether it has to be taken, its base given.
     pub valid: bool,
     /// Route name to path prefix and the services it may go to.
     pub routes: BTreeMap<String, Route>,
+    /// The body.
     pub body: Vec<u8>,
     /// When a clear answer came.
     pub ended: Option<u64>,
@@ -92,33 +127,49 @@
     pub again: Vec<(u64, u64, u16)>,
 }
 
+/// A route of a configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
+    /// The beginning of its paths.
     pub prefix: String,
+    /// The services that it goes to.
     pub services: Vec<String>,
+    /// Its home regions.
     pub homes: Vec<String>,
 }
 
 /// An order on a zone, or a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
+    /// What it is.
     pub what: What,
+    /// When, in milliseconds.
     pub at: u64,
+    /// When it was acknowledged, in milliseconds.
     pub acked: Option<u64>,
     /// When a clear answer came, or the operator gave it up.
     pub ended: Option<u64>,
 }
 
+/// What an operation asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
+    /// A zone is evacuated, or taken back.
     Evacuate {
+        /// The zone.
         zone: String,
+        /// Whether it begins.
         begin: bool,
     },
+    /// A version is rolled out.
     Rollout {
+        /// The service.
         service: String,
+        /// The version.
         target: String,
+        /// Whether it has to be rolled back.
         bad: bool,
+        /// When it ends, in milliseconds.
         until: u64,
     },
 }
@@ -126,9 +177,13 @@
 /// Trouble on a machine, on the core (`core`), or everywhere (`*`), from one time to another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trouble {
+    /// The machine.
     pub on: String,
+    /// When it began, in milliseconds.
     pub from: u64,
+    /// When it ends, in milliseconds.
     pub until: u64,
+    /// What it is, in words.
     pub said: String,
     /// A SIGTERM or a start that the platform planned: no excuse for a request that is lost.
     pub planned: bool,
@@ -137,16 +192,22 @@
 /// A program that panicked, or ended by itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
+    /// When, in milliseconds.
     pub at: u64,
+    /// The machine.
     pub on: String,
+    /// What it is, in words.
     pub said: String,
 }
 
 /// What a control node was asked by a unit, an operator or a client, and what it answered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlExchange {
+    /// The control node.
     pub control_node: String,
+    /// When, in milliseconds.
     pub at: u64,
+    /// When it ends, in milliseconds.
     pub until: u64,
     /// Method and path; a heartbeat that tells of a drain ends in ` draining`.
     pub what: String,
@@ -154,14 +215,22 @@
     pub status: Option<u16>,
 }
 
+/// All that crossed the network, as units, clients and operators saw it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct History {
+    /// Attempts by id.
     pub asked: BTreeMap<String, ClientAttempt>,
+    /// Requests that came to units, in their order.
     pub came: Vec<EndpointRequest>,
+    /// Units by id.
     pub units: BTreeMap<String, EndpointLifetime>,
+    /// Configurations that were sent, in their order.
     pub configs: Vec<Sent>,
+    /// Operations that were sent, in their order.
     pub orders: Vec<Order>,
+    /// Faults that were injected.
     pub troubles: Vec<Trouble>,
+    /// Programs that panicked or ended by themselves.
     pub faults: Vec<Fault>,
     /// SIGTERM of an edge machine, and when its process was gone.
     pub leaves: Vec<(String, u64, u64)>,
@@ -169,6 +238,7 @@
     pub read_back: Option<Vec<u8>>,
     /// When it was asked for.
     pub read_at: u64,
+    /// The state of the last rollout of each service, as read back.
     pub rollouts: BTreeMap<String, String>,
     /// Datagrams were lost, or disks failed, by chance: no time counts as settled.
     pub flawed: bool,
@@ -178,6 +248,7 @@
     pub closing: Option<u64>,
     /// Successes on connections where no request was waiting.
     pub unasked_answers: u64,
+    /// What it is, in words.
     pub said: Vec<ControlExchange>,
     /// Edge machine, start of its process, when it first said that it is ready: if the scenario asks for it.
     pub ready: Vec<(String, u64, u64)>,
--- a/crates/beechcroft-simulator/src/cluster/network.rs
+++ b/crates/beechcroft-simulator/src/cluster/network.rs
@@ -28,8 +28,11 @@
 /// Where a machine stands.
 #[derive(Clone, Debug, Default)]
 pub struct Host {
+    /// Its name.
     pub name: String,
+    /// Its region.
     pub region: String,
+    /// Its zone.
     pub zone: String,
     /// Without power, or behind nothing: it hears and says nothing.
     pub dark: bool,
@@ -37,6 +40,7 @@
     pub skew_ms: i64,
     /// Until when its processes do nothing.
     pub frozen_until: Option<Instant>,
+    /// Tasks to wake once it is no longer frozen.
     pub wakers: Vec<Waker>,
 }
 
@@ -56,15 +60,20 @@
 /// Who is cut off from whom: machines whose name begins so, or whose zone or region it is.
 #[derive(Clone, Debug)]
 pub struct Cut {
+    /// The machines on the one side.
     pub from: String,
+    /// The machines on the other side.
     pub to: String,
+    /// When it ends.
     pub until: Instant,
     /// Only what goes from the one to the other is lost.
     pub one_way: bool,
+    /// What those whom it parts see of it.
     pub how: PartitionKind,
 }
 
 impl Host {
+    /// Whether it is meant by a name, a zone, a region or `*`.
     pub fn is(&self, named: &str) -> bool {
         named == "*" || self.region == named || self.zone == named || self.name.starts_with(named)
     }
@@ -122,15 +131,23 @@
 /// What went over the network.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
+    /// Datagrams that were sent.
     pub letters: u64,
+    /// Their bytes.
     pub letter_bytes: u64,
+    /// Connections that were opened.
     pub connections: u64,
+    /// Bytes on connections.
     pub bytes: u64,
+    /// Bytes between regions.
     pub far_bytes: u64,
+    /// Syncs of all disks.
     pub syncs: u64,
 }
 
+/// The state of the network.
 pub struct Inner {
+    /// Machines by address.
     pub hosts: BTreeMap<Ipv4Addr, Host>,
     began: Instant,
     heap: BinaryHeap<Reverse<Entry>>,
@@ -138,15 +155,21 @@
     listeners: BTreeMap<SocketAddrV4, UnboundedSender<Accepted>>,
     mail: BTreeMap<SocketAddrV4, UnboundedSender<(SocketAddrV4, Vec<u8>)>>,
     half_connections: BTreeMap<u64, HalfConnection>,
+    /// Partitions that have not ended.
     pub cuts: Vec<Cut>,
     /// Of datagrams, and those of them that come twice.
     pub loss: f64,
+    /// Part of datagrams that come twice.
     pub twice: f64,
+    /// One way within a region, in milliseconds.
     pub zone_ms: u64,
+    /// One way between regions, in milliseconds.
     pub region_ms: u64,
     /// Numbers of datagrams that are lost.
     pub lost_letters: Vec<u64>,
+    /// What was sent so far.
     pub counts: Counts,
+    /// Bytes of datagrams and connections by sender.
     pub sent_by: BTreeMap<Ipv4Addr, u64>,
     rng: Pcg64Mcg,
 }
@@ -156,6 +179,7 @@
 pub struct Network(Arc<Mutex<Inner>>, Arc<Notify>);
 
 impl Network {
+    /// A network without any machine.
     pub fn new(seed: u64, zone_ms: u64, region_ms: u64) -> Network {
         let inner = Inner {
             hosts: BTreeMap::new(),
@@ -178,6 +202,7 @@
         Network(Arc::new(Mutex::new(inner)), Arc::new(Notify::new()))
     }
 
+    /// The state; not to be held across an await.
     pub fn with(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().expect("one thread")
     }
@@ -226,6 +251,7 @@
         self.heap.push(Reverse(Entry(at, self.next, due)));
     }
 
+    /// Whether what goes from the one to the other is lost now.
     pub fn is_cut(&self, from: Ipv4Addr, to: Ipv4Addr) -> bool {
         self.cut(from, to).is_some()
     }
@@ -489,7 +515,9 @@
 /// A process's place in the network.
 #[derive(Clone)]
 pub struct HostNetwork {
+    /// The network.
     pub network: Network,
+    /// The machine's address.
     pub ip: Ipv4Addr,
 }
 
--- a/crates/beechcroft-simulator/src/cluster/process.rs
+++ b/crates/beechcroft-simulator/src/cluster/process.rs
@@ -69,6 +69,7 @@
 /// A program that runs. Dropping the handle leaves it running.
 pub struct Process {
     abort: AbortHandle,
+    /// When it began.
     pub began: Instant,
 }
 
@@ -97,6 +98,7 @@
         self.abort.abort();
     }
 
+    /// Whether it has ended by itself.
     pub fn is_over(&self) -> bool {
         self.abort.is_finished()
     }
--- a/crates/beechcroft-simulator/src/cluster/response_faults.rs
+++ b/crates/beechcroft-simulator/src/cluster/response_faults.rs
@@ -33,8 +33,11 @@
     NamelessSuccess,
     /// The same under the id of another request.
     StrangeRefusal,
+    /// The same with 421.
     StrangeElsewhere,
+    /// The same with 500.
     StrangeFailure,
+    /// The same with 200 and a seal.
     StrangeSuccess,
     /// Its answer twice in one piece.
     Twice,
@@ -46,9 +49,11 @@
     Trailing,
     /// It closes, or falls silent, after some bytes of a request that it has not run.
     CutRequest,
+    /// It falls silent there.
     SilentRequest,
     /// The same after some bytes of its answer to one that it has run.
     CutAnswer,
+    /// It falls silent there.
     SilentAnswer,
 }
 
--- a/crates/beechcroft-simulator/src/cluster/run.rs
+++ b/crates/beechcroft-simulator/src/cluster/run.rs
@@ -53,8 +53,11 @@
 /// What was seen of a day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
+    /// The scenario's name.
     pub name: String,
+    /// What the checker found.
     pub verdict: Verdict,
+    /// What was sent over the network.
     pub counts: Counts,
     /// Bytes that each machine sent: the mean and the most of edge machines, a second.
     pub edge_bytes: (f64, f64),
@@ -64,9 +67,11 @@
     pub memberships: Vec<membership_watch::Held>,
     /// Core machines that were told to leave: when, and when their processes ended.
     pub core_leaves: Vec<(String, u64, u64)>,
+    /// Simulated time, in seconds.
     pub simulated_s: f64,
     /// Orders that were never acknowledged.
     pub unacked: Vec<String>,
+    /// All that the checker knows.
     pub history: history::History,
 }
 
--- a/crates/beechcroft-simulator/src/cluster/run/manual.rs
+++ b/crates/beechcroft-simulator/src/cluster/run/manual.rs
@@ -22,10 +22,12 @@
 }
 
 impl ManualRun {
+    /// Milliseconds since the beginning.
     pub fn now(&self) -> u64 {
         self.0.now()
     }
 
+    /// Lets time pass.
     pub async fn wait(&self, ms: u64) {
         sleep(Duration::from_millis(ms)).await;
     }
@@ -62,6 +64,7 @@
         spawn_local(async move { hand.call(core, "POST", &path, &body, within_ms).await })
     }
 
+    /// Sends an operation to one control node after the other until one ends it: the status.
     pub async fn order(&self, first: usize, path: &str, body: &[u8]) -> Option<u16> {
         self.until_clear(first, "POST", path, body).await
     }
--- a/crates/beechcroft-simulator/src/cluster/scenario.rs
+++ b/crates/beechcroft-simulator/src/cluster/scenario.rs
@@ -7,23 +7,29 @@
 use garde::Validate;
 use serde::{Deserialize, Serialize};
 
+/// What is played.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Scenario {
+    /// Its name.
     #[garde(length(min = 1))]
     pub name: String,
     /// What goes wrong, in a sentence.
     #[serde(default)]
     pub about: String,
+    /// The seed of all random numbers.
     #[serde(default = "one")]
     pub seed: u64,
+    /// Regions.
     #[serde(default = "three")]
     #[garde(range(min = 1, max = 6))]
     pub regions: usize,
+    /// Machines that run a proxy.
     #[serde(default = "nine")]
     #[garde(range(min = 1, max = 1000))]
     pub edges: usize,
+    /// Machines that run a control node.
     #[serde(default = "three")]
     #[garde(range(min = 1, max = 9))]
     pub cores: usize,
@@ -31,6 +37,7 @@
     #[serde(default = "nine")]
     #[garde(range(min = 1, max = 500))]
     pub units: usize,
+    /// Requests that a unit executes at once.
     #[serde(default = "four")]
     #[garde(range(min = 1, max = 64))]
     pub slots: usize,
@@ -42,10 +49,13 @@
     #[serde(default = "seconds")]
     #[garde(range(min = 1.0, max = 3600.0))]
     pub seconds: f64,
+    /// One way within a region, in milliseconds.
     #[serde(default = "zone_ms")]
     pub zone_ms: u64,
+    /// One way between regions, in milliseconds.
     #[serde(default = "region_ms")]
     pub region_ms: u64,
+    /// How long a sync takes, in milliseconds.
     #[serde(default = "zone_ms")]
     pub sync_ms: u64,
     /// When power goes, of the records that were being written any first part may be found there, not batches alone.
@@ -55,12 +65,14 @@
     #[serde(default)]
     #[garde(range(min = 0.0, max = 0.9))]
     pub loss: f64,
+    /// Part of datagrams that come twice.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 0.9))]
     pub twice: f64,
     /// Flags of the programs.
     #[serde(default)]
     pub places: usize,
+    /// Whether services get outlier rules by default.
     #[serde(default)]
     pub verdicts: bool,
     /// Each edge machine is asked until it goes by a new configuration, to see how long that takes.
@@ -75,8 +87,10 @@
     /// By number: datagrams that are lost, syncs that do something else.
     #[serde(default)]
     pub lost_letters: Vec<u64>,
+    /// Syncs that fail, by number.
     #[serde(default)]
     pub syncs: Vec<SyncFault>,
+    /// What happens.
     #[serde(default)]
     #[garde(dive)]
     pub event: Vec<Event>,
@@ -88,13 +102,17 @@
     pub without: Option<beechcroft_safeguards::Safeguard>,
 }
 
+/// What one sync does instead of its work.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SyncFault {
+    /// Its number, from 1, over all disks.
     pub number: u64,
+    /// What it does.
     pub does: SyncFailure,
 }
 
+/// What happens at one time.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
@@ -102,6 +120,7 @@
     /// Seconds from the start of traffic.
     #[garde(range(min = 0.0, max = 3600.0))]
     pub at: f64,
+    /// What happens.
     pub what: What,
 }
 
@@ -158,223 +177,323 @@
 pub enum What {
     /// A configuration with so many routes more; `drop`: and without one that was added before.
     Config {
+        /// Routes that are added.
         #[serde(default)]
         routes: usize,
+        /// Whether one that was added before is left out.
         #[serde(default)]
         drop: bool,
     },
     /// One that changes something else than routes' prefixes.
     Alter {
+        /// What it changes.
         change: Change,
     },
     /// Trouble of a core machine, and what it is sent meanwhile and as it returns.
     Met {
+        /// What meets the machine.
         by: Meets,
+        /// What happens.
         what: Box<What>,
     },
     /// Two of them at once on the same version, sent to different control nodes.
     Race,
     /// Two of them at once, different ones under the same number.
     Twins,
+    /// A configuration that has to be refused.
     Invalid,
+    /// A version is rolled out.
     Rollout {
+        /// The service.
         service: String,
+        /// Part of requests that fail.
         #[serde(default)]
         fails: f64,
+        /// Times the time that a request should take.
         #[serde(default)]
         slow: f64,
+        /// The ramp, in seconds.
         #[serde(default = "ramp")]
         ramp_s: f64,
     },
+    /// A zone is evacuated for a while.
     Evacuate {
+        /// The zone.
         zone: String,
+        /// How long, in seconds.
         for_s: f64,
     },
     /// Units say that they leave, are acknowledged, and end.
     Drain {
+        /// The service.
         service: String,
+        /// How many.
         count: usize,
     },
     /// Units that are new and cold.
     Add {
+        /// The service.
         service: String,
+        /// How many.
         count: usize,
     },
     /// Units end without a word; their addresses go to another service's after 2 s if `reuse`.
     Crash {
+        /// The service.
         service: String,
+        /// How many.
         count: usize,
+        /// Whether units of another service start at their addresses.
         #[serde(default)]
         reuse: bool,
     },
     /// Units are ill for a while.
     Ill {
+        /// The service.
         service: String,
+        /// How many.
         count: usize,
+        /// How long, in seconds.
         for_s: f64,
+        /// Part of requests that fail.
         #[serde(default)]
         fails: f64,
+        /// Times the time that a request should take.
         #[serde(default)]
         slow: f64,
+        /// Part of responses that are lost.
         #[serde(default)]
         loses: f64,
+        /// Part of responses that are not HTTP.
         #[serde(default)]
         spoils: f64,
+        /// Whether health checks say the opposite.
         #[serde(default)]
         lies: bool,
     },
     /// A part of the answers of units is wrong for a while.
     Answers {
+        /// The service.
         service: String,
+        /// How many.
         count: usize,
+        /// How long, in seconds.
         for_s: f64,
+        /// The part.
         part: f64,
+        /// What is wrong.
         wrong: ResponseFault,
     },
     /// Units lose power without a word, and come back at their addresses under other names.
     Dark {
+        /// The service.
         service: String,
+        /// How many.
         count: usize,
+        /// How long, in seconds.
         for_s: f64,
     },
     /// Units go down and up by turns.
     Flap {
+        /// The service.
         service: String,
+        /// How many.
         count: usize,
+        /// How long, in seconds.
         for_s: f64,
+        /// The time between two of them, in seconds.
         every_s: f64,
     },
     /// Units turn cold.
     Cold {
+        /// The service.
         service: String,
+        /// How many.
         count: usize,
     },
     /// Processes are killed, and started again after a while.
     Kill {
+        /// The machines.
         on: String,
+        /// How long they are down, in seconds.
         #[serde(default = "down")]
         down_s: f64,
     },
     /// SIGTERM; then a new start.
     Term {
+        /// The machines.
         on: String,
     },
+    /// Processes do nothing for a while.
     Freeze {
+        /// The machines.
         on: String,
+        /// How long, in seconds.
         for_s: f64,
     },
     /// Machines lose power, and have it again after a while.
     Power {
+        /// The machines.
         on: String,
+        /// How long they are down, in seconds.
         #[serde(default = "down")]
         down_s: f64,
     },
     /// The same, and their disks are lost.
     Wipe {
+        /// The machines.
         on: String,
+        /// How long they are down, in seconds.
         #[serde(default = "down")]
         down_s: f64,
     },
     /// Processes are killed, and a record on their disks cannot be read any more as they start again.
     Damage {
+        /// The machines.
         on: String,
+        /// The record's key.
         record: String,
+        /// How long they are down, in seconds.
         #[serde(default = "down")]
         down_s: f64,
     },
     /// A core machine is gone for good; an empty one comes at another address.
     Replace {
+        /// The machines.
         on: String,
     },
+    /// Machines cannot reach each other for a while.
     Cut {
+        /// The one side.
         from: String,
+        /// The other side; `*`: all others.
         to: String,
+        /// How long, in seconds.
         for_s: f64,
+        /// Whether only what goes from the one to the other is lost.
         #[serde(default)]
         one_way: bool,
+        /// What those whom it parts see of it.
         #[serde(default)]
         how: PartitionKind,
     },
+    /// Syncs take longer for a while.
     SlowDisk {
+        /// The machines.
         on: String,
+        /// How long a sync takes, in milliseconds.
         sync_ms: u64,
+        /// How long, in seconds.
         for_s: f64,
     },
+    /// Datagrams are lost for a while.
     Loss {
+        /// The part.
         part: f64,
+        /// How long, in seconds.
         for_s: f64,
     },
+    /// Clocks are wrong from now on.
     Skew {
+        /// The machines.
         on: String,
+        /// By how much, in milliseconds.
         ms: i64,
     },
     /// So many times the requests for a while.
     Burst {
+        /// Times the usual rate.
         times: f64,
+        /// How long, in seconds.
         for_s: f64,
     },
     /// Many changes, one each so many ms. Parts of them: whose answers are lost on their way, that race another one on
     /// the same version, after which the newest one is sent again.
     Storm {
+        /// How many.
         count: usize,
+        /// The time between two of them, in milliseconds.
         every_ms: u64,
+        /// Part whose responses are lost.
         #[serde(default)]
         lost: f64,
+        /// Part that race another one.
         #[serde(default)]
         races: f64,
+        /// Part after which the newest one is sent again.
         #[serde(default)]
         again: f64,
     },
     /// Answers to the operators are lost on their way.
     Unheard {
+        /// The part.
         part: f64,
+        /// How long, in seconds.
         for_s: f64,
     },
     /// The settings name other seeds, the core machines called `first` before the others; so many edge machines are
     /// killed and started anew.
     Seeds {
+        /// The control nodes that come first.
         first: String,
+        /// Proxies that start by the new seeds.
         #[serde(default)]
         restart: usize,
     },
     /// SIGTERM to one machine after the other; `remove`: a new one starts elsewhere first, and the old one leaves for
     /// good.
     Roll {
+        /// The machines.
         on: String,
+        /// Whether each is replaced for good.
         #[serde(default)]
         remove: bool,
+        /// The time between two of them, in seconds.
         every_s: f64,
     },
     /// A share of the machines is killed at once.
     Herd {
+        /// The machines.
         on: String,
+        /// The share of them.
         share: f64,
+        /// Whether they lose power; else processes are killed.
         #[serde(default)]
         power: bool,
+        /// How long they are down, in seconds.
         #[serde(default = "down")]
         down_s: f64,
     },
     /// Machines are killed, or lose power, so many ms after something; disks of `wipe` are lost. `closing`: the end of
     /// the day is judged as after a closing fault.
     Strike {
+        /// The machines.
         on: String,
+        /// After what it comes.
         #[serde(default)]
         after: After,
+        /// How long after that, in milliseconds.
         #[serde(default)]
         wait_ms: u64,
+        /// Whether they lose power; else processes are killed.
         #[serde(default)]
         power: bool,
+        /// Machines that lose their disks.
         #[serde(default)]
         wipe: Option<String>,
+        /// How long they are down, in seconds.
         #[serde(default = "down")]
         down_s: f64,
+        /// Whether the end is judged as after a closing fault.
         #[serde(default)]
         closing: bool,
     },
     /// Every machine loses power, or every process is killed, right after a configuration was acknowledged.
     Closing {
+        /// Whether they lose power; else processes are killed.
         #[serde(default)]
         power: bool,
+        /// Machines that lose their disks.
         #[serde(default)]
         wipe: Option<String>,
     },
--- a/crates/beechcroft-simulator/src/cluster/unit.rs
+++ b/crates/beechcroft-simulator/src/cluster/unit.rs
@@ -71,18 +71,29 @@
 
 /// A unit, as its process and the run see it.
 pub struct Unit {
+    /// Its id.
     pub id: String,
+    /// The service that it belongs to.
     pub service: String,
+    /// The version of its software.
     pub version: String,
+    /// Its zone.
     pub zone: String,
+    /// Its address.
     pub at: SocketAddrV4,
+    /// Requests that it executes at once.
     pub slots: usize,
+    /// The mean time of a request, in milliseconds.
     pub work_ms: f64,
+    /// Bytes of a response's body.
     pub bytes: usize,
+    /// Until when it is cold.
     pub cold_until: Cell<u64>,
     /// What it says of that: told a little before it turns cold.
     pub told_cold: Cell<u64>,
+    /// Whether it drains.
     pub draining: Cell<bool>,
+    /// What is the matter with it.
     pub impairment: RefCell<Impairment>,
     sequence: Cell<u64>,
     free: Semaphore,
--- a/crates/beechcroft-simulator/src/cluster/world.rs
+++ b/crates/beechcroft-simulator/src/cluster/world.rs
@@ -27,11 +27,17 @@
 
 /// What all actors share.
 pub struct World {
+    /// The network.
     pub network: Network,
+    /// When the run began.
     pub began: Instant,
+    /// All that the checker will know.
     pub history: RefCell<History>,
+    /// Addresses of the control nodes, those that are gone for good left out.
     pub cores: RefCell<Vec<Ipv4Addr>>,
+    /// Random numbers of units, clients and operators.
     pub rng: RefCell<Pcg64Mcg>,
+    /// The last number that was given out.
     pub next: Cell<u64>,
     /// Writes of clients that were answered with success.
     pub taken: Cell<u64>,
@@ -54,15 +60,18 @@
         })
     }
 
+    /// Milliseconds since the beginning.
     pub fn now(&self) -> u64 {
         self.began.elapsed().as_millis() as u64
     }
 
+    /// The next number: each is given out once.
     pub fn number(&self) -> u64 {
         self.next.set(self.next.get() + 1);
         self.next.get()
     }
 
+    /// A random number from 0 up to 1.
     pub fn draw(&self) -> f64 {
         self.rng.borrow_mut().random()
     }
--- a/crates/beechcroft-simulator/src/event_queue.rs
+++ b/crates/beechcroft-simulator/src/event_queue.rs
@@ -31,6 +31,7 @@
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Entry<E>>>,
     next: u64,
+    /// The time, in microseconds.
     pub now: u64,
 }
 
@@ -45,6 +46,7 @@
 }
 
 impl<E> EventQueue<E> {
+    /// Adds an event that comes after a while.
     pub fn after(&mut self, wait_us: u64, event: E) {
         self.next += 1;
         self.heap
--- a/crates/beechcroft-simulator/src/hot_key_study.rs
+++ b/crates/beechcroft-simulator/src/hot_key_study.rs
@@ -26,7 +26,9 @@
 const FAR_US: u64 = 20_000;
 /// Until every unit holds what one has acknowledged; the operator's `freshMs` is above it.
 const REPLICATE_US: u64 = 80_000;
+/// The `freshMs` of the service, in milliseconds.
 pub const FRESH_MS: u64 = 200;
+/// The `usualPlaces` of the service.
 pub const USUAL: usize = 2;
 const KEYS: f64 = 100_000.0;
 /// Of connections, that are new with a request.
@@ -39,12 +41,14 @@
     Plain,
     /// Usual places, never more.
     UsualPlaces,
+    /// Hot keys are spread over more endpoints.
     Spread,
 }
 
 /// What goes wrong while the crowd is there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
+    /// Nothing goes wrong.
     None,
     /// A unit of the key's set crashes and comes back under another id 4 s later.
     Crash,
@@ -62,6 +66,7 @@
     Moves,
 }
 
+/// All of them.
 pub const TROUBLES: [Trouble; 8] = [
     Trouble::None,
     Trouble::Crash,
@@ -76,13 +81,19 @@
 /// One night.
 #[derive(Clone, Copy, Debug)]
 pub struct HotKeyStudy {
+    /// Proxies, over all regions.
     pub proxies: usize,
+    /// Units, over all regions.
     pub units: usize,
+    /// Requests a second, over all regions.
     pub rate: f64,
     /// Part of all lookups that ask for the one key, while the crowd is there.
     pub share: f64,
+    /// How keys are used.
     pub mode: Mode,
+    /// What goes wrong.
     pub trouble: Trouble,
+    /// The seed of the random numbers.
     pub seed: u64,
 }
 
@@ -127,21 +138,29 @@
 pub struct Seen {
     /// Milliseconds of lookups of the crowded key while it is crowded, and of all other keys at that time.
     pub hot: Histogram<u64>,
+    /// Milliseconds of lookups of all other keys.
     pub rest: Histogram<u64>,
+    /// Requests that failed.
     pub failed: u64,
+    /// Lookups that were answered.
     pub lookups: u64,
     /// From the crowd's beginning until some proxy spreads the key; none if none does.
     pub noticed_s: Option<f64>,
     /// From the crowd's beginning until its set is as wide as it ever gets.
     pub spread_s: Option<f64>,
+    /// The most endpoints that the hot key was spread over.
     pub widest: usize,
     /// From the crowd's end until every proxy is back at the usual places.
     pub returned_s: Option<f64>,
+    /// Writes that were acknowledged.
     pub writes_acked: u64,
+    /// Writes that were executed twice.
     pub writes_twice: u64,
+    /// Acknowledged writes that no unit holds.
     pub writes_lost: u64,
     /// Lookups older than the connection's own acknowledged write, and than what it had been shown.
     pub stale: u64,
+    /// Lookups that showed an older state than an earlier one of the same connection.
     pub back: u64,
     /// The same where the connection was bound to a unit that is gone or cannot be reached.
     pub unbound: u64,
--- a/crates/beechcroft-simulator/src/outlier_study.rs
+++ b/crates/beechcroft-simulator/src/outlier_study.rs
@@ -16,12 +16,15 @@
 pub enum Impairment {
     /// A third of its requests fail, its health is good.
     Grey,
+    /// Its responses are late.
     Late,
+    /// It does not respond.
     Dark,
     /// Dark for 3 s in every 10.
     Flaps,
 }
 
+/// All of them.
 pub const IMPAIRMENTS: [Impairment; 4] = [
     Impairment::Grey,
     Impairment::Late,
@@ -29,22 +32,30 @@
     Impairment::Flaps,
 ];
 
+/// One unit of many, watched by all proxies.
 #[derive(Clone, Copy, Debug)]
 pub struct Watch {
+    /// Proxies that watch.
     pub proxies: usize,
+    /// Units of the service.
     pub units: u32,
     /// Requests a second to each unit, from all proxies.
     pub rate: f64,
+    /// What is wrong with the one unit, if anything is.
     pub ill: Option<Impairment>,
     /// From when on, and until when, in seconds.
     pub span: (u32, u32),
+    /// Seconds that are played.
     pub seconds: u32,
     /// A region loses sight of one unit, or of all, for a moment, once in so many seconds.
     pub blinks_every: u32,
+    /// Part of reports that are lost.
     pub loss: f64,
+    /// The seed of the random numbers.
     pub seed: u64,
 }
 
+/// What came of it.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
     /// Seconds from the beginning of the illness until half, and until all proxies set the unit aside.
@@ -53,11 +64,15 @@
     pub back_s: Option<u32>,
     /// Verdicts on sound units, in unit-seconds and proxy-seconds.
     pub wrong: u64,
+    /// Judgements of sound units, in unit-seconds and proxy-seconds.
     pub judged: u64,
-    /// Requests to the ill unit, by verdict; by a proxy that goes by its own failures alone; without either.
+    /// Requests to the ill unit by proxies that go by verdicts.
     pub sent: u64,
+    /// The same by proxies that go by their own failures alone.
     pub sent_alone: u64,
+    /// The same by proxies that go by neither.
     pub sent_blind: u64,
+    /// Bytes of reports.
     pub bytes: u64,
 }
 
@@ -201,15 +216,21 @@
 /// Sound units for a long time, under brief losses of sight and lost words, as one proxy judges them.
 #[derive(Clone, Copy, Debug)]
 pub struct Long {
+    /// Proxies that watch.
     pub proxies: usize,
+    /// Units of the service.
     pub units: u32,
     /// Requests a second to each unit, from all proxies; of which so many fail without any illness.
     pub rate: f64,
+    /// Part of requests that fail at every unit.
     pub errors: f64,
+    /// Seconds that are played.
     pub seconds: u32,
     /// A region loses sight of one unit, or of all, for a second, once in so many seconds.
     pub blinks_every: u32,
+    /// Part of reports that are lost.
     pub loss: f64,
+    /// The seed of the random numbers.
     pub seed: u64,
 }
 
--- a/crates/beechcroft-simulator/src/queueing_unit.rs
+++ b/crates/beechcroft-simulator/src/queueing_unit.rs
@@ -5,27 +5,39 @@
 /// What a unit does with a request that has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
+    /// It is executed at once.
     Runs,
+    /// It waits.
     Waits,
+    /// It is rejected.
     Full,
     /// Nothing is there.
     Gone,
 }
 
+/// A unit with slots and a queue.
 #[derive(Clone, Debug)]
 pub struct Unit {
+    /// Its id.
     pub id: std::rc::Rc<str>,
+    /// Its region.
     pub region: usize,
+    /// Its zone.
     pub zone: usize,
+    /// Requests that it executes at once.
     pub slots: usize,
+    /// Requests that may wait.
     pub queue: usize,
+    /// Whether its process runs.
     pub alive: bool,
     /// Requests that run, by their number, and those that wait.
     pub running: Vec<u64>,
+    /// Requests that wait, in their order.
     pub waiting: VecDeque<u64>,
 }
 
 impl Unit {
+    /// A unit without requests.
     pub fn new(id: &str, region: usize, zone: usize, slots: usize, queue: usize) -> Unit {
         let (running, waiting) = (Vec::new(), VecDeque::new());
         Unit {
@@ -40,6 +52,7 @@
         }
     }
 
+    /// A request arrives.
     pub fn take(&mut self, request: u64) -> Taken {
         if !self.alive {
             Taken::Gone
@@ -72,6 +85,7 @@
         )
     }
 
+    /// Requests that are executed or wait.
     pub fn load(&self) -> u32 {
         (self.running.len() + self.waiting.len()) as u32
     }
