--- a/crates/beechcroft-consensus/src/acceptor.rs
+++ b/crates/beechcroft-consensus/src/acceptor.rs
@@ -12,11 +12,11 @@
 use std::fmt;
 
 /// The key of the record that holds a [`ReplicaIdentity`]. An empty record says that there was one.
-const IDENTITY_KEY: &str = "identity";
+pub const IDENTITY_KEY: &str = "identity";
 /// The key of the record that holds the identity that this node had before it was deposed.
-const FORMER_KEY: &str = "former";
+pub const FORMER_KEY: &str = "former";
 /// The keys of the records that hold a [`Register`] each.
-const REGISTER_KEYS: PerRegister<&str> = PerRegister(["register-0", "register-1"]);
+pub const REGISTER_KEYS: PerRegister<&str> = PerRegister(["register-0", "register-1"]);
 /// Two nodes that draw the same epoch draw the next ones at most so far apart.
 const EPOCH_JITTER: u64 = 1021;
 
--- a/crates/beechcroft-consensus/src/lib.rs
+++ b/crates/beechcroft-consensus/src/lib.rs
@@ -39,7 +39,10 @@
 mod register;
 mod round;
 
-pub use acceptor::{Acceptor, Record, Records, ReplicaIdentity, UnreadableRecord};
+pub use acceptor::{
+    Acceptor, Record, Records, ReplicaIdentity, UnreadableRecord, FORMER_KEY, IDENTITY_KEY,
+    REGISTER_KEYS,
+};
 pub use config_store::ConfigStore;
 pub use epoch::{Epoch, Epochs, Holder, ReplicaEpoch};
 pub use message::{PromisedValue, Request, Response};
--- a/crates/beechcroft-control/src/disk.rs
+++ b/crates/beechcroft-control/src/disk.rs
@@ -1,6 +1,6 @@
 //! The thread that owns the disk: it writes what waits together, with one sync, and says when it is stored.
 
-use beechcroft_consensus::Records;
+use beechcroft_consensus::{Records, FORMER_KEY, IDENTITY_KEY, REGISTER_KEYS};
 use beechcroft_safeguards::Safeguard;
 use beechcroft_storage::{RecordStore, Table};
 use std::future::Future;
@@ -11,12 +11,8 @@
 use std::sync::mpsc;
 use tokio::sync::oneshot;
 
-/// The record of a replica's identity.
-const IDENTITY: &str = "identity";
 /// The records that a replica relies on.
-const REPLICA_RECORDS: [&str; 3] = [IDENTITY, "register-0", "register-1"];
-/// What a node without a replica may hand over of a former one.
-const FORMER_IDENTITY: &str = "former";
+const REPLICA_RECORDS: [&str; 3] = [IDENTITY_KEY, REGISTER_KEYS.0[0], REGISTER_KEYS.0[1]];
 
 /// Turns a table with corrupt records into one that is safe to use. Whether that counts as a lost disk.
 ///
@@ -28,10 +24,10 @@
     let is_lost = REPLICA_RECORDS.iter().any(|name| is_corrupt(name))
         && Safeguard::CorruptionIsDiskLoss.is_enabled();
     if is_lost {
-        for name in REPLICA_RECORDS.iter().chain([&FORMER_IDENTITY]) {
+        for name in REPLICA_RECORDS.iter().chain([&FORMER_KEY]) {
             table.remove(*name);
         }
-        table.insert(IDENTITY.into(), Vec::new());
+        table.insert(IDENTITY_KEY.into(), Vec::new());
     }
     is_lost
 }
--- a/crates/beechcroft-control/src/state_owner.rs
+++ b/crates/beechcroft-control/src/state_owner.rs
@@ -20,7 +20,7 @@
 use crate::disk::Disk;
 use beechcroft_config::config::OutlierRules;
 use beechcroft_config::{ServiceDefaults, Settings};
-use beechcroft_consensus::{Acceptor, OperationsState, PerRegister, Proposer, Value};
+use beechcroft_consensus::{Acceptor, OperationsState, PerRegister, Proposer, Value, IDENTITY_KEY};
 use beechcroft_error::{Error, ErrorKind};
 use beechcroft_gossip::{Action, Gossip, Member, MemberState, Quorum};
 use beechcroft_outlier::OutlierDetector;
@@ -133,7 +133,7 @@
         let port = settings.internal_ports[0];
         let gossip = Gossip::new(local, port, settings.seed_nodes.clone(), salt);
         let mut owner = StateOwner {
-            is_bootstrapping: settings.bootstrap && !table.contains_key("identity"),
+            is_bootstrapping: settings.bootstrap && !table.contains_key(IDENTITY_KEY),
             settings,
             defaults,
             started_at: Instant::now(),
