--- a/crates/beechcroft-gossip/src/contact.rs
+++ b/crates/beechcroft-gossip/src/contact.rs
@@ -1,57 +1,59 @@
-//! Quorum contact: whether a majority of the replicas' nodes answers this node.
+//! Quorum contact: whether a majority of the nodes that hold replicas answers this node.
 //!
-//! Each control node pings the holders of all other replicas. An answer names the ping that it answers and counts
-//! from the time at which that ping was *sent*. Whatever lay in a socket while this process was stalled, or came over
-//! the one direction of a link that was left, is no evidence of the present. A message that answers no ping shows one
-//! direction only and does not count.
+//! Each control node pings the holders of all other replicas. A pong names the ping that it answers, and the evidence
+//! is dated by the time at which that ping was *sent*: a message that waited in a socket while this process was
+//! stalled proves nothing about the present. A message that answers no ping shows that one direction of the link works
+//! and does not count.
 
 use beechcroft_safeguards::Safeguard;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Between pings to a node that answers, in milliseconds.
+/// Interval between pings to a node that answers, in milliseconds.
 pub const PING_INTERVAL_MS: u64 = 500;
-/// Between pings to a node that has not answered for two intervals, so that a lost datagram or two are made good in
-/// time.
+/// Interval between pings to a node that has not answered for two intervals, in milliseconds. It is short enough to
+/// make up for one or two lost datagrams before contact times out.
 const RETRY_INTERVAL_MS: u64 = 200;
-/// Evidence older than this does not count, in milliseconds: four pings and a round trip.
+/// Age from which an answered ping no longer counts as contact, in milliseconds: four ping intervals and a round trip.
 pub const CONTACT_TIMEOUT_MS: u64 = 2500;
-/// Pings whose answers are still recognised.
+/// Number of the latest pings whose pongs are still matched.
 const PENDING_PINGS: usize = 64;
 
-/// The nodes that make a quorum, and how many of them must answer.
+/// The nodes that form a quorum with this one, and how many of them must answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Quorum {
-    /// The names of the nodes, without this one.
+    /// Names of the nodes that hold replicas, without this node.
     pub others: Vec<String>,
-    /// How many of them are needed: a majority of all, less this node if it is one of them.
+    /// Number of `others` that must answer: a majority of all replicas, minus one if this node holds a replica.
     pub required: usize,
 }
 
-/// The evidence of contact with a quorum.
+/// Tracks pings and pongs to decide whether this node is in contact with a quorum.
 #[derive(Clone, Debug, Default)]
 pub struct QuorumContact {
-    /// The number of the latest ping.
+    /// Number of the latest ping.
     last_ping: u32,
-    /// The latest pings with the times at which they were sent.
+    /// Number and send time of the latest pings, oldest first.
     pending: VecDeque<(u32, u64)>,
-    /// When each node was last pinged.
+    /// Time of the latest ping to each node.
     pinged_at: BTreeMap<String, u64>,
+    /// Latest answer of each node.
     answers: BTreeMap<String, PingAnswer>,
+    /// Result of the last `refresh`, sent in pongs.
     has_contact: bool,
 }
 
 /// The latest ping that a node has answered.
 #[derive(Clone, Copy, Debug)]
 struct PingAnswer {
-    /// When that ping was sent.
+    /// Send time of that ping.
     sent_at: u64,
-    /// Whether the node said that it is in contact with a quorum itself.
+    /// Whether the answering node reported that it is in contact with a quorum.
     in_contact: bool,
 }
 
 impl QuorumContact {
-    /// No node has answered. `first_ping` is drawn by each process, so that an answer to a former process answers
-    /// nothing.
+    /// Starts without contact. Each process draws a random `first_ping`, so that a pong for an earlier process of the
+    /// same node matches no ping of this one.
     pub fn new(first_ping: u32) -> QuorumContact {
         QuorumContact {
             last_ping: first_ping,
@@ -59,7 +61,7 @@
         }
     }
 
-    /// The number of the ping to send now, and the nodes to send it to.
+    /// Returns the number of the next ping and the nodes that it is due to, and records it as sent at `now`.
     pub fn next_pings(&mut self, now: u64, quorum: &Quorum) -> (u32, Vec<String>) {
         self.answers.retain(|name, _| quorum.others.contains(name));
         self.pinged_at
@@ -90,7 +92,7 @@
         (self.last_ping, due)
     }
 
-    /// A node has answered a ping.
+    /// Records a pong of the named node. Pongs that match no pending ping are ignored.
     pub fn on_pong(&mut self, name: &str, ping: u32, in_contact: bool) {
         let sent = self.pending.iter().find(|(number, _)| *number == ping);
         let Some(&(_, sent_at)) = sent.filter(|_| self.pinged_at.contains_key(name)) else {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// A message has come that answers no ping: no evidence while the safeguard is enabled.
+    /// Records a message that need not answer a ping. It counts as contact only while the safeguard is disabled.
     pub fn on_message(&mut self, now: u64, name: &str) {
         if !Safeguard::TwoWayContact.is_enabled() {
             let answer = PingAnswer {
@@ -122,6 +124,7 @@
         }
     }
 
+    /// The answers of the quorum's nodes that are not older than [`CONTACT_TIMEOUT_MS`].
     fn recent_answers<'a>(
         &'a self,
         now: u64,
@@ -134,7 +137,7 @@
         answers.filter(move |(_, held)| now <= held.sent_at.saturating_add(CONTACT_TIMEOUT_MS))
     }
 
-    /// The nodes that have answered of late and said that they are in contact with a quorum themselves.
+    /// Nodes that have answered recently and reported to be in contact with a quorum themselves.
     pub fn nodes_in_contact<'a>(
         &'a self,
         now: u64,
@@ -145,17 +148,17 @@
             .map(|(name, _)| name)
     }
 
-    /// Whether as many nodes as are required have answered of late.
+    /// Whether the required number of nodes has answered recently.
     pub fn is_established(&self, now: u64, quorum: &Quorum) -> bool {
         self.recent_answers(now, quorum).count() >= quorum.required
     }
 
-    /// Updates what nodes are told that ping this one.
+    /// Recomputes the contact state that pongs of this node report.
     pub fn refresh(&mut self, now: u64, quorum: &Quorum) {
         self.has_contact = self.is_established(now, quorum);
     }
 
-    /// Whether this node is in contact, as of the last refresh.
+    /// Whether this node was in contact at the last [`refresh`](Self::refresh).
     pub fn has_contact(&self) -> bool {
         self.has_contact
     }
--- a/crates/beechcroft-gossip/src/dissemination.rs
+++ b/crates/beechcroft-gossip/src/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination: the queue of updates, and how messages are composed.
+//! Dissemination: the queue of updates, the choice of receivers, and the composition of messages.
 
 use crate::gossip::{Action, Gossip};
 use crate::message::{
@@ -10,24 +10,26 @@
 use rand::RngExt;
 use std::net::SocketAddrV4;
 
-/// The number of nodes that queued updates are sent to each time.
+/// Number of nodes that each flush of the queue sends to.
 const FANOUT: usize = 3;
-/// How often a node that learned an update passes it on.
-const ROUNDS: u8 = 2;
-/// The same for an endpoint that drains or has ended, which is rare and must be known everywhere soon.
-const URGENT_ROUNDS: u8 = 4;
-/// Between two times that queued updates are sent, in milliseconds.
+/// Number of flushes in which a node sends an update that it has learned.
+const TRANSMISSIONS: u8 = 2;
+/// Number of flushes for the update of an endpoint that is draining or gone: rare, and to be known everywhere soon.
+const URGENT_TRANSMISSIONS: u8 = 4;
+/// Interval between flushes of the queue, in milliseconds.
 const FLUSH_INTERVAL_MS: u64 = 80;
-/// The share of what goes to other regions, where there are any: bytes between regions cost most.
+/// Share of messages that go to other regions, if there are any. It is low because traffic between regions is the most
+/// expensive.
 pub(crate) const CROSS_REGION_SHARE: f64 = 0.3;
-/// A table of members that changed less long ago is not compared: the change is still on its way. In milliseconds.
+/// Time without changes after which the table of members counts as settled, in milliseconds. A table that changed more
+/// recently is not compared, because the change is probably still being disseminated.
 const MEMBERS_SETTLE_MS: u64 = 300;
-/// The same for endpoints, whose drains must not wait.
+/// Settling time of the registry of endpoints, in milliseconds. It is shorter because drains must not be delayed.
 const ENDPOINTS_SETTLE_MS: u64 = 80;
-/// Bytes of items in a message. With the rest it stays under the smallest usual packet size.
-const MESSAGE_BYTES: usize = 1000;
+/// Maximum size of the items in a message, in bytes. With the digests, the datagram stays below the smallest usual MTU.
+const MAX_ITEM_BYTES: usize = 1000;
 
-/// An update that is to be passed on. What can be looked up is named, so that the newest state is sent.
+/// A queued update. Members, endpoints and heartbeats are queued by name, so that the newest state is sent.
 #[derive(Clone, PartialEq)]
 pub(crate) enum Update {
     Member(String),
@@ -39,7 +41,7 @@
 }
 
 impl Update {
-    /// Whether this update makes an earlier one superfluous.
+    /// Whether this update supersedes an earlier one in the queue.
     fn replaces(&self, earlier: &Update) -> bool {
         match (earlier, self) {
             (Update::Alarm(earlier), Update::Alarm(new)) => {
@@ -56,24 +58,24 @@
     }
 }
 
-/// An update, and how often it is still to be sent.
+/// An update, and the number of flushes that are still to send it.
 pub(crate) struct QueuedUpdate {
     update: Update,
-    rounds_left: u8,
+    transmissions_left: u8,
 }
 
 impl Gossip {
-    /// Queues an update.
+    /// Queues an update in place of those that it supersedes.
     pub(crate) fn enqueue(&mut self, update: Update) {
         self.queue.retain(|queued| !update.replaces(&queued.update));
-        let rounds_left = if self.is_urgent(&update) {
-            URGENT_ROUNDS
+        let transmissions_left = if self.is_urgent(&update) {
+            URGENT_TRANSMISSIONS
         } else {
-            ROUNDS
+            TRANSMISSIONS
         };
         self.queue.push_back(QueuedUpdate {
             update,
-            rounds_left,
+            transmissions_left,
         });
     }
 
@@ -85,7 +87,7 @@
         endpoint.is_some_and(|endpoint| endpoint.record.state != EndpointState::Ready)
     }
 
-    /// Sends queued updates if their time has come.
+    /// Sends queued updates if a flush is due.
     pub(crate) fn flush_if_due(&mut self, now: u64, actions: &mut Vec<Action>) {
         if now < self.next_flush {
             return;
@@ -96,34 +98,39 @@
         }
     }
 
-    /// Sends queued updates at once, to more nodes than usual and to all regions alike.
+    /// Sends queued updates immediately, to twice as many nodes as usual and without preference for the own region.
     pub fn flush_now(&mut self, now: u64, actions: &mut Vec<Action>) {
         self.flush(now, 2 * FANOUT, true, actions);
     }
 
-    fn flush(&mut self, now: u64, fanout: usize, is_global: bool, actions: &mut Vec<Action>) {
+    fn flush(&mut self, now: u64, fanout: usize, all_regions: bool, actions: &mut Vec<Action>) {
         let items = self.take_queued_items(now);
-        let (mut near, mut far): (Vec<SocketAddrV4>, Vec<SocketAddrV4>) = (Vec::new(), Vec::new());
+        let mut same_region: Vec<SocketAddrV4> = Vec::new();
+        let mut other_regions: Vec<SocketAddrV4> = Vec::new();
         for member in self.live_members() {
-            let is_near = is_global || member.region == self.local.region;
-            let group = if is_near { &mut near } else { &mut far };
+            let group = if all_regions || member.region == self.local.region {
+                &mut same_region
+            } else {
+                &mut other_regions
+            };
             group.push(self.address(member));
         }
         for _ in 0..fanout {
-            let prefers_far = near.is_empty() || self.rng.random_bool(CROSS_REGION_SHARE);
-            let group = if prefers_far && !far.is_empty() {
-                &mut far
+            let crosses_regions =
+                same_region.is_empty() || self.rng.random_bool(CROSS_REGION_SHARE);
+            let group = if crosses_regions && !other_regions.is_empty() {
+                &mut other_regions
             } else {
-                &mut near
+                &mut same_region
             };
             if group.is_empty() {
                 continue;
             }
             let to = group.swap_remove(self.rng.random_range(0..group.len()));
-            if prefers_far && !is_global {
-                // Hot keys are the region's own.
-                let is_for_all = |item: &&Item| !matches!(item, Item::HotKeys(_));
-                let items: Vec<Item> = items.iter().filter(is_for_all).cloned().collect();
+            if crosses_regions && !all_regions {
+                // Hot keys are shared only within a region.
+                let is_exported = |item: &&Item| !matches!(item, Item::HotKeys(_));
+                let items: Vec<Item> = items.iter().filter(is_exported).cloned().collect();
                 if !items.is_empty() {
                     self.send(to, &items, false, None, actions);
                 }
@@ -133,26 +140,26 @@
         }
     }
 
-    /// The items of all queued updates; those with rounds left stay in the queue.
+    /// Returns the items of all queued updates, and keeps those in the queue that are to be sent again.
     fn take_queued_items(&mut self, now: u64) -> Vec<Item> {
         let mut items = Vec::new();
         for QueuedUpdate {
             update,
-            rounds_left,
+            transmissions_left,
         } in std::mem::take(&mut self.queue)
         {
             items.extend(self.item_of(now, &update));
-            if rounds_left > 1 {
+            if transmissions_left > 1 {
                 self.queue.push_back(QueuedUpdate {
                     update,
-                    rounds_left: rounds_left - 1,
+                    transmissions_left: transmissions_left - 1,
                 });
             }
         }
         items
     }
 
-    /// The item that an update sends now; `None` for an endpoint that was forgotten meanwhile.
+    /// The item to send for an update; `None` if the endpoint or member is no longer in its table.
     fn item_of(&self, now: u64, update: &Update) -> Option<Item> {
         match update {
             Update::Member(name) if *name == self.local.name => {
@@ -181,7 +188,8 @@
         }
     }
 
-    /// Sends items in as many messages as they need. Only the first one asks for a response and carries ranges.
+    /// Sends items in as many messages as they need, at least one. Only the first message requests a response and
+    /// carries the range digests.
     pub(crate) fn send(
         &self,
         to: SocketAddrV4,
@@ -195,7 +203,7 @@
             let mut bytes = 0;
             let fitting = rest.iter().take_while(|item| {
                 bytes += item.size_hint();
-                bytes <= MESSAGE_BYTES
+                bytes <= MAX_ITEM_BYTES
             });
             let (now, later) = rest.split_at(fitting.count().max(1).min(rest.len()));
             let message = Message {
@@ -231,6 +239,7 @@
         }
     }
 
+    /// Digests by hash range of this node's tables.
     pub(crate) fn range_digests(&self) -> RangeDigests {
         RangeDigests {
             members: self.member_digests,
@@ -238,6 +247,7 @@
         }
     }
 
+    /// The summary of this node's tables and registers that goes into each message.
     pub(crate) fn table_digests(&self) -> TableDigests {
         let ranges = self.range_digests();
         let age = |at| self.clock.saturating_sub(at).min(u64::from(u32::MAX)) as u32;
--- a/crates/beechcroft-gossip/src/failure_detection.rs
+++ b/crates/beechcroft-gossip/src/failure_detection.rs
@@ -1,37 +1,39 @@
-//! Failure detection: which nodes this one watches, pings, and reports of nodes that are down.
+//! Failure detection: assignment of watchers, pings, and reports of nodes that are down.
 
 use crate::dissemination::{Update, CROSS_REGION_SHARE};
-use crate::gossip::{Action, Gossip, ALARM_LAPSE_MS, DOWN_TIMEOUT_MS};
+use crate::gossip::{Action, Gossip, ALARM_TTL_MS, DOWN_TIMEOUT_MS};
 use crate::message::{Member, MemberState};
 use rand::seq::IteratorRandom;
 use rand::RngExt;
 use rapidhash::v3::rapidhash_v3;
 use std::net::SocketAddrV4;
 
-/// Nodes of its own region that watch a node.
-const NEAR_WATCHERS: usize = 2;
-/// Nodes of other regions that watch a node.
-const FAR_WATCHERS: usize = 1;
-/// Between pings, in milliseconds.
+/// Number of watchers of each node within its own region.
+const SAME_REGION_WATCHERS: usize = 2;
+/// Number of watchers of each node in other regions.
+const OTHER_REGION_WATCHERS: usize = 1;
+/// Interval between rounds of pings, in milliseconds.
 const PING_INTERVAL_MS: u64 = 400;
-/// Between pings until the first message has come, in milliseconds.
+/// Interval between rounds of pings until the first message has been received, in milliseconds.
 const JOIN_INTERVAL_MS: u64 = 60;
-/// A node whose own tick comes later than this is in no position to report others as down, in milliseconds.
+/// Gap between two ticks from which this process counts as stalled, in milliseconds. A stalled process does not report
+/// others as down, because their answers may be waiting unread.
 const STALL_MS: u64 = 250;
 
 impl Gossip {
-    /// Time has passed.
+    /// Advances the clock: sends queued updates and pings that are due, and drops expired entries. The owner calls this
+    /// every few tens of milliseconds.
     pub fn tick(&mut self, now: u64, actions: &mut Vec<Action>) {
         if self.is_stalled(now) {
-            // This node itself was late: answers may wait unread.
+            // Answers may have arrived during the stall and not been read yet.
             self.report_down_from = now + DOWN_TIMEOUT_MS;
             self.trust_reads_from = now + STALL_MS;
         }
         (self.ticked_at, self.clock) = (now, now);
         self.flush_if_due(now, actions);
         if now >= self.next_ping {
-            let has_heard_nobody = self.last_heard_at == 0;
-            let interval = if has_heard_nobody {
+            let is_joining = self.last_heard_at == 0;
+            let interval = if is_joining {
                 JOIN_INTERVAL_MS
             } else {
                 PING_INTERVAL_MS
@@ -39,12 +41,12 @@
             self.next_ping = now + interval + self.rng.random_range(0..interval / 8);
             self.ping(now, actions);
             self.alarms
-                .retain(|_, alarm| alarm.heard_at + ALARM_LAPSE_MS > now);
+                .retain(|_, alarm| alarm.received_at + ALARM_TTL_MS > now);
             self.endpoints.remove_expired(now);
         }
     }
 
-    /// Whether this process was stalled since its last tick.
+    /// Whether this process has been stalled since its last tick.
     pub(crate) fn is_stalled(&self, now: u64) -> bool {
         self.ticked_at > 0 && now > self.ticked_at + STALL_MS
     }
@@ -55,11 +57,11 @@
         self.ping_seeds(actions);
     }
 
-    /// Pings the nodes that this one watches, and reports those that stay silent.
+    /// Pings the nodes that this one watches, and reports those that have not answered in time as down.
     fn ping_watched(&mut self, now: u64, actions: &mut Vec<Action>) {
         let watched = self.watched_nodes();
-        // A node that hears nobody is cut off itself.
-        let is_cut_off = now.saturating_sub(self.last_heard_at) > DOWN_TIMEOUT_MS / 2;
+        // A node that receives no messages at all is probably isolated itself and reports nobody.
+        let is_isolated = now.saturating_sub(self.last_heard_at) > DOWN_TIMEOUT_MS / 2;
         for (name, to) in &watched {
             let peer = self
                 .peers
@@ -67,8 +69,8 @@
                 .expect("watched nodes are in the table");
             let since = *peer.watched_since.get_or_insert(now);
             let silent_ms = now.saturating_sub(since.max(peer.answered_at));
-            let is_silent = silent_ms > peer.patience_ms;
-            if is_silent && !is_cut_off && now >= self.report_down_from {
+            let is_silent = silent_ms > peer.down_timeout_ms;
+            if is_silent && !is_isolated && now >= self.report_down_from {
                 self.report_down(name, actions);
             } else {
                 self.send(*to, &[], true, None, actions);
@@ -93,8 +95,8 @@
         self.enqueue(Update::Member(name.to_owned()));
     }
 
-    /// Pings one more node at random, nodes that are down among them, so that parts that were cut off from each other
-    /// find each other again.
+    /// Pings one more node at random. Nodes that are down are included, so that the sides of a network partition find
+    /// each other again once it heals.
     fn ping_random(&mut self, actions: &mut Vec<Action>) {
         let any_region = self.rng.random_bool(CROSS_REGION_SHARE);
         let Gossip {
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Pings the seeds that no member is known for, and all of them while no control node is heard.
+    /// Pings the seeds whose address belongs to no known member, and all seeds while no control node is live.
     fn ping_seeds(&mut self, actions: &mut Vec<Action>) {
         let has_control_nodes = self.live_members().any(|member| member.is_control);
         let ranges = self.range_digests();
@@ -121,30 +123,34 @@
         }
     }
 
-    /// The nodes that this one watches. Computed anew only after members have changed.
+    /// Names and addresses of the nodes that this one watches, cached until the members change.
     fn watched_nodes(&mut self) -> Vec<(String, SocketAddrV4)> {
         if let Some(watched) = &self.watched {
             return watched.clone();
         }
-        let mine = self
+        let watched_members = self
             .live_members()
             .filter(|member| self.is_watcher_of(member));
-        let watched: Vec<_> = mine
+        let watched: Vec<_> = watched_members
             .map(|member| (member.name.clone(), self.address(member)))
             .collect();
         self.watched = Some(watched.clone());
         watched
     }
 
-    /// Whether this node is among those that watch another one, by rendezvous hashing.
+    /// Whether rendezvous hashing makes this node a watcher of another one.
     fn is_watcher_of(&self, other: &Member) -> bool {
         let weight = |name: &str| rapidhash_v3(format!("{name} watches {}", other.name).as_bytes());
         let own_weight = weight(&self.local.name);
-        let is_near = self.local.region == other.region;
+        let is_same_region = self.local.region == other.region;
         let candidates = self.live_members().filter(|member| {
-            member.name != other.name && (member.region == other.region) == is_near
+            member.name != other.name && (member.region == other.region) == is_same_region
         });
-        let watchers = if is_near { NEAR_WATCHERS } else { FAR_WATCHERS };
+        let watchers = if is_same_region {
+            SAME_REGION_WATCHERS
+        } else {
+            OTHER_REGION_WATCHERS
+        };
         candidates
             .filter(|member| weight(&member.name) > own_weight)
             .count()
--- a/crates/beechcroft-gossip/src/gossip.rs
+++ b/crates/beechcroft-gossip/src/gossip.rs
@@ -1,4 +1,6 @@
-//! The state of a node's gossip, and what its owner reads and reports.
+//! The gossip state machine: its state, and the calls by which the state owner of a node reads and updates it.
+//!
+//! All times are milliseconds of the owner's monotonic clock, which starts above 0.
 
 use crate::contact::{Quorum, QuorumContact};
 use crate::dissemination::{QueuedUpdate, Update};
@@ -13,60 +15,61 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
-/// A heartbeat that says nothing new is passed on this rarely: one of so many.
+/// Number of heartbeats of an endpoint per disseminated one, if nothing else has changed.
 pub const HEARTBEATS_PER_UPDATE: u64 = 4;
-/// An endpoint that reports a warm-up ending so much later than known is warming up anew, in milliseconds: heartbeats
-/// take their time and are no clock.
+/// Minimum delay of the reported end of a warm-up that is disseminated at once, in milliseconds. Smaller differences
+/// come from the varying transit time of heartbeats.
 const WARMUP_TOLERANCE_MS: u64 = 200;
-/// How long alarms are kept after they were heard, in milliseconds.
-pub(crate) const ALARM_LAPSE_MS: u64 = 3000;
-/// For how long a watched node may stay silent before it is reported as down, in milliseconds.
+/// How long a received alarm is kept, in milliseconds.
+pub(crate) const ALARM_TTL_MS: u64 = 3000;
+/// How long a watched node may leave pings unanswered before it is first reported as down, in milliseconds.
 pub(crate) const DOWN_TIMEOUT_MS: u64 = 1300;
 
-/// What gossip asks of its owner.
+/// An effect that the owner of the state machine must carry out, or an event that it may be interested in.
 #[derive(Debug)]
 pub enum Action {
     /// Send a datagram.
     Send {
-        /// Its destination.
+        /// Destination of the datagram.
         to: SocketAddrV4,
-        /// The message.
+        /// Content of the datagram.
         message: Message,
     },
-    /// A peer holds a newer value of a register: fetch it.
+    /// Fetch a register from a peer that holds a newer value.
     FetchRegister {
-        /// The peer.
+        /// Internal listener of the peer.
         from: SocketAddrV4,
-        /// The register.
+        /// The register to fetch.
         register: RegisterId,
-        /// The revision that the peer holds.
+        /// Revision that the peer holds.
         revision: Revision,
     },
     /// The endpoint with this id is new, or its state has changed.
     EndpointChanged(String),
-    /// A later heartbeat of the endpoint with this id has come.
+    /// A later heartbeat of the endpoint with this id was received.
     EndpointHeartbeat(String),
     /// The table of members has changed.
     MembersChanged,
-    /// Another proxy's alarm has come.
+    /// The alarm of another proxy was received.
     Alarm(AlarmUpdate),
-    /// Another proxy of the region reports hot keys.
+    /// The hot keys of another proxy in the region were received.
     HotKeys(HotKeyUpdate),
-    /// Another proxy reports what it observed of endpoints.
+    /// The observation of endpoints by another proxy was received.
     Observation(Observation),
 }
 
-/// A member, and what this node knows of it by its own contact.
+/// A member, and this node's direct contact with it.
 pub(crate) struct Peer {
     pub(crate) member: Member,
-    /// Since when this node watches it.
+    /// Time from which this node has watched the member.
     pub(crate) watched_since: Option<u64>,
-    /// When it last answered.
+    /// Time of the last message from the member, initially the time at which it became known.
     pub(crate) answered_at: u64,
-    /// When it last sent a message itself; 0 if it never did.
+    /// Time of the last message from the member; 0 if there was none.
     pub(crate) heard_at: u64,
-    /// How long this watcher waits for an answer: twice as long after each false report.
-    pub(crate) patience_ms: u64,
+    /// How long the member may leave pings unanswered before this watcher reports it as down, in milliseconds. Doubled
+    /// after each false report.
+    pub(crate) down_timeout_ms: u64,
 }
 
 impl Peer {
@@ -76,78 +79,85 @@
             watched_since: None,
             answered_at: now,
             heard_at: 0,
-            patience_ms: DOWN_TIMEOUT_MS,
+            down_timeout_ms: DOWN_TIMEOUT_MS,
         }
     }
 }
 
-/// An alarm, and when it was heard.
-pub(crate) struct HeardAlarm {
+/// An alarm with the time at which it was received.
+pub(crate) struct ReceivedAlarm {
     pub(crate) update: AlarmUpdate,
-    pub(crate) heard_at: u64,
+    pub(crate) received_at: u64,
 }
 
-/// The proxy and the service that an update is about.
+/// Names of the proxy that sends an update and of the service that it concerns.
 pub(crate) type ProxyService = (String, String);
 
-/// The order of a proxy's updates: its incarnation, then the sequence.
+/// Sort key of the updates of one proxy: the incarnation, then the sequence number.
 pub(crate) type UpdateNumber = (u64, u32);
 
-/// The latest round of the operations register that is known to have ended.
+/// The latest completed round of the operations register that this node knows of.
 #[derive(Clone, Copy)]
 pub(crate) struct QuorumRead {
-    /// When the round began.
+    /// Start of the round.
     pub(crate) at: u64,
+    /// Revision that the round confirmed.
     pub(crate) revision: Revision,
 }
 
 /// A revision that peers hold and this node does not.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct MissedRevision {
+pub(crate) struct MissingRevision {
     pub(crate) revision: Revision,
+    /// Time at which this node learned of the revision.
     pub(crate) since: u64,
 }
 
-/// A node's gossip.
+/// The gossip state of a node.
 pub struct Gossip {
+    /// The report of this node on itself.
     pub(crate) local: Member,
-    /// The internal port of control nodes; a proxy's is the next one.
+    /// Internal port of control nodes; proxies listen on the next one.
     pub(crate) port: u16,
     pub(crate) seeds: Vec<SocketAddrV4>,
     /// All members but this node, by name.
     pub(crate) peers: BTreeMap<String, Peer>,
     pub(crate) endpoints: EndpointRegistry,
     pub(crate) revisions: PerRegister<Revision>,
-    pub(crate) alarms: BTreeMap<ProxyService, HeardAlarm>,
-    /// The latest update of each proxy on each service's hot keys.
+    pub(crate) alarms: BTreeMap<ProxyService, ReceivedAlarm>,
+    /// Number of the latest hot-key update of each proxy and service.
     pub(crate) hot_keys_seen: BTreeMap<ProxyService, UpdateNumber>,
-    /// The latest observation of each proxy on each service.
+    /// Number of the latest observation of each proxy and service.
     pub(crate) observations_seen: BTreeMap<ProxyService, UpdateNumber>,
     pub(crate) quorum_read: Option<QuorumRead>,
     pub(crate) queue: VecDeque<QueuedUpdate>,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) next_flush: u64,
     pub(crate) next_ping: u64,
-    /// The digest of each range of members, this node among them. Invariant: the exclusive or of their digests.
+    /// Digest of each range of members, including this node. Invariant: the exclusive or of the members' digests.
     pub(crate) member_digests: [u32; MEMBER_RANGES],
-    /// The peers that this node watches, until members change.
+    /// Cached names and addresses of the peers that this node watches; `None` after members have changed.
     pub(crate) watched: Option<Vec<(String, SocketAddrV4)>>,
+    /// Time of the latest tick or message.
     pub(crate) clock: u64,
+    /// Time of the latest tick.
     pub(crate) ticked_at: u64,
-    /// Before this time no quorum read is taken from a message: it may have waited unread.
+    /// Until this time, quorum reads in messages are ignored: after a stall the messages may have waited unread.
     pub(crate) trust_reads_from: u64,
-    /// Before this time no other node is reported as down.
+    /// Until this time, this node reports no other node as down.
     pub(crate) report_down_from: u64,
     pub(crate) members_changed_at: u64,
     pub(crate) endpoints_changed_at: u64,
-    pub(crate) missed: PerRegister<MissedRevision>,
+    /// For each register, the oldest revision that peers hold and this node has not fetched.
+    pub(crate) missing: PerRegister<MissingRevision>,
+    /// Time of the latest message from any other node; 0 if there was none.
     pub(crate) last_heard_at: u64,
     pub(crate) contact: QuorumContact,
 }
 
 impl Gossip {
-    /// The gossip of a node that knows nobody. `port`: the internal port of control nodes. `salt` is drawn by each
-    /// process.
+    /// Creates the state of a node that knows no other node. `port` is the internal port of control nodes, and `salt`
+    /// seeds the random number generator, so each process passes a different one.
     pub fn new(local: Member, port: u16, seeds: Vec<SocketAddrV4>, salt: u64) -> Gossip {
         let mut rng = Pcg64Mcg::seed_from_u64(salt);
         let contact = QuorumContact::new(rng.random());
@@ -174,7 +184,7 @@
             report_down_from: 0,
             members_changed_at: 0,
             endpoints_changed_at: 0,
-            missed: PerRegister::default(),
+            missing: PerRegister::default(),
             last_heard_at: 0,
             contact,
         };
@@ -182,7 +192,7 @@
         gossip
     }
 
-    /// Starts from what a former incarnation of the process knew. The others correct what is out of date.
+    /// Loads the tables that an earlier process of this node had stored. Anti-entropy corrects what is out of date.
     pub fn restore(&mut self, now: u64, members: Vec<Member>, endpoints: Vec<EndpointRecord>) {
         let local = self.local.name.clone();
         for member in members.into_iter().filter(|member| member.name != local) {
@@ -195,63 +205,63 @@
         }
     }
 
-    /// Replaces the seeds, after a change of the settings file.
+    /// Replaces the seeds. Called when the settings file has changed.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
         self.seeds = seeds;
     }
 
-    /// This node.
+    /// This node's report on itself.
     pub fn local(&self) -> &Member {
         &self.local
     }
 
-    /// The registry of endpoints.
+    /// The endpoints that this node knows of, including those that are draining or gone.
     pub fn endpoints(&self) -> &EndpointRegistry {
         &self.endpoints
     }
 
-    /// The revisions of the registers that this node holds.
+    /// Revisions of the register values that this node holds.
     pub fn revisions(&self) -> PerRegister<Revision> {
         self.revisions
     }
 
-    /// This node holds a newer value of a register.
+    /// Sets the revision of the register value that this node holds, which peers learn from its next message.
     pub fn set_revision(&mut self, register: RegisterId, revision: Revision) {
         self.revisions[register] = revision;
     }
 
-    /// All members but this node.
+    /// All members except this node.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.peers.values().map(|peer| &peer.member)
     }
 
-    /// The members that are not down, without this node.
+    /// All members that are not down, except this node.
     pub fn live_members(&self) -> impl Iterator<Item = &Member> {
         self.members()
             .filter(|member| member.state < MemberState::Down)
     }
 
-    /// A member other than this node.
+    /// Looks up a member other than this node.
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.peers.get(name).map(|peer| &peer.member)
     }
 
-    /// The address that a member's internal listener has.
+    /// Address of a member's internal listener.
     pub fn address(&self, member: &Member) -> SocketAddrV4 {
         SocketAddrV4::new(member.ip, self.port + u16::from(!member.is_control))
     }
 
-    /// When any other node was last heard; 0 if none was.
+    /// Time of the latest message from any other node; 0 if there was none.
     pub fn last_heard_at(&self) -> u64 {
         self.last_heard_at
     }
 
-    /// When a node was last heard itself; 0 if it never was.
+    /// Time of the latest message from the named node itself; 0 if there was none.
     pub fn member_heard_at(&self, name: &str) -> u64 {
         self.peers.get(name).map_or(0, |peer| peer.heard_at)
     }
 
-    /// Pings the nodes of a quorum that are due.
+    /// Pings the nodes of the quorum whose next ping is due.
     pub fn ping_quorum(&mut self, now: u64, quorum: &Quorum, actions: &mut Vec<Action>) {
         let (number, due) = self.contact.next_pings(now, quorum);
         self.contact.refresh(now, quorum);
@@ -262,13 +272,14 @@
         }
     }
 
-    /// Whether as many nodes of a quorum as are required have answered this node of late.
+    /// Whether the required number of nodes of the quorum has answered this node recently.
     pub fn has_quorum_contact(&self, now: u64, quorum: &Quorum) -> bool {
         self.contact.is_established(now, quorum)
     }
 
-    /// Whether this node is the first by name of those that are in contact with the quorum, as far as it knows. What
-    /// one control node has to do and any of them may, that one does.
+    /// Whether this node is the coordinator: as far as it knows, the first by name of the control nodes that are in
+    /// contact with the quorum. The coordinator takes on the tasks that any one control node may do. Two nodes may
+    /// briefly both consider themselves the coordinator.
     pub fn is_coordinator(&self, now: u64, quorum: &Quorum) -> bool {
         self.has_quorum_contact(now, quorum)
             && self
@@ -277,7 +288,7 @@
                 .all(|name| *name > self.local.name)
     }
 
-    /// Changes the state that this node reports of itself.
+    /// Changes the state that this node reports of itself, with a new version.
     pub fn set_state(&mut self, state: MemberState) {
         if self.local.state != state {
             self.change_local(|local| {
@@ -287,28 +298,29 @@
         }
     }
 
-    /// Merges the record of a heartbeat that an endpoint sent to this node.
+    /// Merges the record of a heartbeat that an endpoint has sent to this node.
     pub fn record_heartbeat(&mut self, now: u64, record: EndpointRecord) -> MergeOutcome {
         let id = record.id.clone();
-        // Others must know if it is warming up, or longer than they believe.
+        // Other nodes must learn at once that an endpoint warms up again, or for longer than reported before.
         let warm_at = self
             .endpoints
             .get(&id)
             .map_or(0, |endpoint| endpoint.warm_at);
         let reported_warm_at = now + u64::from(record.warmup_left_ms);
-        let is_colder =
+        let extends_warmup =
             record.warmup_left_ms > 0 && reported_warm_at > warm_at + WARMUP_TOLERANCE_MS;
-        let is_passed_on = record.sequence.is_multiple_of(HEARTBEATS_PER_UPDATE) || is_colder;
+        let is_disseminated =
+            record.sequence.is_multiple_of(HEARTBEATS_PER_UPDATE) || extends_warmup;
         let outcome = self.endpoints.merge(now, record);
         match outcome {
             MergeOutcome::Changed => self.enqueue(Update::Endpoint(id)),
-            MergeOutcome::Heartbeat if is_passed_on => self.enqueue(Update::Heartbeat(id)),
+            MergeOutcome::Heartbeat if is_disseminated => self.enqueue(Update::Heartbeat(id)),
             MergeOutcome::Heartbeat | MergeOutcome::Unchanged => {}
         }
         outcome
     }
 
-    /// An endpoint has said that it ends, whether it is known here or not. Whether that was new.
+    /// Marks an endpoint as gone on its own request, even if this node does not know it. Returns whether that was new.
     pub fn deregister_endpoint(&mut self, now: u64, id: &str) -> bool {
         let is_new = self.endpoints.deregister(now, id);
         if is_new {
@@ -317,7 +329,7 @@
         is_new
     }
 
-    /// An endpoint has ended. Whether that was new.
+    /// Marks a known endpoint as gone. Returns whether that was new.
     pub fn mark_endpoint_gone(&mut self, id: &str) -> bool {
         let is_new = self.endpoints.mark_gone(id);
         if is_new {
@@ -326,49 +338,49 @@
         is_new
     }
 
-    /// Whether an endpoint may be sent requests, as far as the registry says.
+    /// Whether the registry lists an endpoint as ready to take requests.
     pub fn is_endpoint_ready(&self, id: &str) -> bool {
         let endpoint = self.endpoints.get(id);
         endpoint.is_some_and(|endpoint| endpoint.record.state == EndpointState::Ready)
     }
 
-    /// Publishes this proxy's alarm.
+    /// Publishes the alarm of this proxy to all nodes.
     pub fn publish_alarm(&mut self, now: u64, update: AlarmUpdate) {
         let key = (update.proxy.clone(), update.service.clone());
         self.alarms.insert(
             key,
-            HeardAlarm {
+            ReceivedAlarm {
                 update: update.clone(),
-                heard_at: now,
+                received_at: now,
             },
         );
         self.enqueue(Update::Alarm(update));
     }
 
-    /// Publishes this proxy's report on a service's hot keys, to the proxies of its region.
+    /// Publishes this proxy's report on the hot keys of a service to the proxies of its region.
     pub fn publish_hot_keys(&mut self, update: HotKeyUpdate) {
         self.enqueue(Update::HotKeys(update));
     }
 
-    /// Publishes what this proxy observed of a service's endpoints.
+    /// Publishes this proxy's observation of the endpoints of a service to all nodes.
     pub fn publish_observation(&mut self, observation: Observation) {
         self.enqueue(Update::Observation(observation));
     }
 
-    /// The alarms on a service that have not lapsed, this proxy's own among them.
+    /// The unexpired alarms on a service, including the one that this node has published.
     pub fn alarms<'a>(
         &'a self,
         now: u64,
         service: &'a str,
     ) -> impl Iterator<Item = &'a AlarmUpdate> {
         let alarms = self.alarms.values().filter(move |alarm| {
-            alarm.update.service == service && alarm.heard_at + ALARM_LAPSE_MS > now
+            alarm.update.service == service && alarm.received_at + ALARM_TTL_MS > now
         });
         alarms.map(|alarm| &alarm.update)
     }
 
-    /// A round of the operations register that began at `at` has confirmed a revision. It counts only on a node that
-    /// holds that revision: another one would act on something older.
+    /// Records that a round of the operations register that began at `at` has confirmed a revision. It counts only if
+    /// this node holds that revision; otherwise the node would act on older state.
     pub fn record_quorum_read(&mut self, at: u64, revision: Revision) {
         let is_held = self.revisions[RegisterId::Operations] >= revision;
         if is_held && self.quorum_read.is_none_or(|held| held.at < at) {
@@ -376,7 +388,8 @@
         }
     }
 
-    /// When the control nodes last showed that they agree, on what this node holds.
+    /// Start of the latest round in which a majority of the control nodes confirmed the operations register that this
+    /// node holds.
     pub fn last_quorum_read_at(&self) -> Option<u64> {
         self.quorum_read.map(|read| read.at)
     }
@@ -390,7 +403,7 @@
         self.enqueue(Update::Member(after.name));
     }
 
-    /// Updates the digests after a change of a member, this node among them.
+    /// Updates the digests after a change of a member or of this node.
     pub(crate) fn update_member_digest(&mut self, before: Option<&Member>, after: &Member) {
         if let Some(before) = before {
             self.member_digests[before.digest_range()] ^= before.digest();
--- a/crates/beechcroft-gossip/src/message.rs
+++ b/crates/beechcroft-gossip/src/message.rs
@@ -1,6 +1,6 @@
-//! The messages that nodes send each other in datagrams, in postcard form.
+//! Datagrams between nodes, encoded with postcard.
 //!
-//! The order of fields and variants is their encoding; `beechcroft-control/tests/compatibility` pins it.
+//! The encoding depends on the order of fields and variants; `beechcroft-control/tests/compatibility` pins it.
 
 use beechcroft_consensus::{PerRegister, Revision};
 use beechcroft_hotkeys::HotKeyReport;
@@ -10,61 +10,62 @@
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The number of hash ranges over which two tables of members are compared.
+/// Number of hash ranges by which two nodes compare their tables of members.
 pub const MEMBER_RANGES: usize = 8;
 
-/// The state of a node. Of two reports with the same incarnation and version, the later state wins.
+/// The state of a node. Of two reports with the same incarnation and version, the one with the greater state wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It has no configuration or knows no endpoints yet.
+    /// Has no configuration or knows no endpoints yet.
     Starting,
-    /// It serves.
+    /// Serves requests.
     Ready,
-    /// It is shutting down.
+    /// Is shutting down.
     Leaving,
-    /// Its watchers get no answer from it.
+    /// Does not answer the pings of a watcher.
     Down,
 }
 
-/// A node, as it reports itself or as others report it.
+/// A report on a node, made by the node itself or by another one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the node, unique in the fleet.
     pub name: String,
-    /// Its address.
+    /// Address of the internal listeners; [`crate::Gossip::address`] adds the port.
     pub ip: Ipv4Addr,
-    /// Whether it is a control node; otherwise it is a proxy.
+    /// Control node if set, proxy otherwise.
     pub is_control: bool,
-    /// Whether it may hold a replica.
+    /// Whether the node is eligible to hold a replica of the control state.
     pub is_quorum_member: bool,
-    /// Its region.
+    /// Region that the zone belongs to.
     pub region: String,
-    /// Its zone.
+    /// Zone that the node runs in.
     pub zone: String,
-    /// Where clients send requests.
+    /// Listener for client requests, if the node has one.
     pub ingress: Option<SocketAddrV4>,
-    /// Where units and the operator call.
+    /// Listener for calls of units and the operator, if the node has one.
     pub control: Option<SocketAddrV4>,
-    /// The start of its process, in milliseconds since 1970 by its own clock.
+    /// Start time of the process, in milliseconds since 1970 by the node's own clock. It may be raised to refute a
+    /// report.
     pub incarnation: u64,
-    /// Rises with each change that the node reports of itself.
+    /// Incremented with each change that the node reports of itself.
     pub version: u32,
-    /// Its state.
+    /// State according to this report.
     pub state: MemberState,
 }
 
 impl Member {
-    /// Which of two reports on a node wins: the greater one.
+    /// Sort key of reports on the same node: the report with the greater key wins.
     pub fn precedence(&self) -> (u64, u32, MemberState) {
         (self.incarnation, self.version, self.state)
     }
 
-    /// The hash range that the node falls into.
+    /// Index of the hash range that the node's name falls into.
     pub fn digest_range(&self) -> usize {
         rapidhash_v3(self.name.as_bytes()) as usize % MEMBER_RANGES
     }
 
-    /// The node's part of the digest of its range.
+    /// Digest of this report. The digest of a range is the exclusive or over its members.
     pub fn digest(&self) -> u32 {
         let version = u64::from(self.version) << 44;
         let report = self.incarnation ^ version ^ ((self.state as u64) << 60);
@@ -73,83 +74,86 @@
     }
 }
 
-/// What a proxy has counted of one endpoint in a rollout's stage.
+/// Outcomes of one endpoint that a proxy has counted during a stage of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointCount {
-    /// The endpoint's short id, as `beechcroft-rollout` computes it.
+    /// Short id of the endpoint, as computed by `beechcroft-rollout`.
     pub endpoint: u16,
-    /// Outcomes.
+    /// Requests with a known outcome.
     pub trials: u16,
-    /// Failures among them.
+    /// Failed requests among `trials`.
     pub failures: u16,
 }
 
-/// A proxy's alarm on a rollout, weighted by its divergence, and what it has counted (the paper's one-bit message).
+/// A proxy's alarm on a rollout, weighted by its divergence (the paper's one-bit message), with the proxy's counts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AlarmUpdate {
-    /// The proxy.
+    /// Name of the reporting proxy.
     pub proxy: String,
-    /// The incarnation of its process.
+    /// Incarnation of the proxy's process.
     pub incarnation: u64,
-    /// Rises with each update of the incarnation.
+    /// Incremented with each update of the same incarnation.
     pub sequence: u32,
-    /// The service.
+    /// Service that is rolled out.
     pub service: String,
-    /// The rollout's id.
+    /// Id of the rollout.
     pub rollout: u64,
-    /// The rollout's stage that the update is about.
+    /// Stage of the rollout that the counts belong to.
     pub stage: u8,
-    /// For how long the proxy has known that stage, in milliseconds.
+    /// Time since the proxy learned of that stage, in milliseconds.
     pub stage_ms: u32,
     /// The alarm bit.
     pub is_alarmed: bool,
-    /// Expected log-likelihood ratio for each tick, in nats.
+    /// Expected log-likelihood ratio per tick, in nats.
     pub divergence: f32,
-    /// Outcomes of the new version in this stage.
+    /// Requests to the new version with a known outcome in this stage.
     pub trials: u32,
-    /// Failures among them.
+    /// Failed requests among `trials`.
     pub failures: u32,
-    /// Requests to the service in this stage, of either version.
+    /// Requests to the service in this stage, whichever version served them.
     pub requests: u32,
-    /// The failure rate of the base version here.
+    /// Failure rate of the base version as measured by this proxy.
     pub baseline_failure_rate: f32,
-    /// Requests in flight at endpoints of the base version.
+    /// Requests in flight from this proxy to endpoints of the base version.
     pub baseline_in_flight: u32,
-    /// Outcomes by endpoint of the new version.
+    /// Outcomes for each endpoint of the new version.
     pub endpoints: Vec<EndpointCount>,
-    /// Latencies of the base version here, by histogram bin up to the last one that is not empty.
+    /// Latency histogram of the base version as measured by this proxy, without the empty bins at the end.
     pub baseline_latencies: Vec<u16>,
 }
 
-/// A later heartbeat of a known endpoint.
+/// A later heartbeat of an endpoint whose full record the receiver is expected to hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The endpoint's id.
+    /// Id of the endpoint.
     pub id: String,
-    /// The heartbeat's sequence number.
+    /// Sequence number that the unit gave the heartbeat.
     pub sequence: u64,
-    /// For how long it was going to warm up, in milliseconds.
+    /// Remaining warm-up at the time of the heartbeat, in milliseconds.
     pub warmup_left_ms: u32,
-    /// Since the heartbeat was heard, in milliseconds.
+    /// Time since a control node received the heartbeat, in milliseconds.
     pub age_ms: u32,
 }
 
-/// A proxy's report on a service's hot keys.
+/// A proxy's report on the hot keys of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HotKeyUpdate {
-    /// The proxy.
+    /// Name of the reporting proxy.
     pub proxy: String,
-    /// The incarnation of its process.
+    /// Incarnation of the proxy's process.
     pub incarnation: u64,
-    /// Rises with each update of the incarnation.
+    /// Incremented with each update of the same incarnation.
     pub sequence: u32,
-    /// The service.
+    /// Service that the keys belong to.
     pub service: String,
-    /// The rates of lookups.
+    /// Lookup rates, in total and of the hottest keys.
     pub report: HotKeyReport,
 }
 
 /// One item of a message.
+///
+/// The full record of an endpoint and its heartbeats are separate items because most heartbeats change only the
+/// sequence number.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Item {
     /// A report on a node.
@@ -162,24 +166,24 @@
     Alarm(AlarmUpdate),
     /// A proxy's report on hot keys.
     HotKeys(HotKeyUpdate),
-    /// What a proxy observed of endpoints.
+    /// Outcomes of requests to endpoints, as observed by a proxy.
     Observation(Observation),
-    /// A control node asks whether its messages arrive.
+    /// A control node checks that messages pass in both directions.
     Ping {
-        /// Returned with the answer.
+        /// Returned in the pong.
         number: u32,
     },
     /// The answer to a ping.
     Pong {
-        /// The number of the ping.
+        /// Number of the ping that is answered.
         number: u32,
-        /// Whether the node that answers is in contact with a quorum itself.
+        /// Whether the answering node is itself in contact with a quorum.
         in_contact: bool,
     },
 }
 
 impl Item {
-    /// About how many bytes it takes in a message.
+    /// Approximate encoded size, in bytes.
     pub fn size_hint(&self) -> usize {
         match self {
             Item::Member(m) => 40 + m.name.len() + m.region.len() + m.zone.len(),
@@ -195,68 +199,70 @@
     }
 }
 
-/// The node that sends a message. The rest of what is known of it is in the table of members.
+/// The sender of a message. The receiver looks up everything else about the node in its table of members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// The incarnation of its process.
+    /// Incarnation of the node's process.
     pub incarnation: u64,
-    /// The version of its report on itself.
+    /// Version of the node's report on itself.
     pub version: u32,
-    /// Its state.
+    /// State that the node reports of itself.
     pub state: MemberState,
 }
 
-/// Which tables have not changed for a moment: what differs in them is not just on its way.
+/// Which tables of the sender have settled, that is, have not changed recently. Two settled tables that differ need a
+/// comparison; a difference in an unsettled one is most likely an update that is still being disseminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettledTables {
-    /// The table of members.
+    /// Whether the table of members has settled.
     pub members: bool,
-    /// The registry of endpoints.
+    /// Whether the registry of endpoints has settled.
     pub endpoints: bool,
 }
 
-/// The latest round of the operations register that a node knows to have ended.
+/// The latest completed consensus round of the operations register that a node knows of: evidence that a majority of
+/// the control nodes agreed at that time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuorumReadAge {
-    /// How long ago the round began, in milliseconds.
+    /// Time since the round began, in milliseconds.
     pub age_ms: u32,
-    /// The revision that it confirmed.
+    /// Revision that the round confirmed.
     pub revision: Revision,
 }
 
-/// Digests of whole tables and the revisions of the registers: part of every message.
+/// Summary of the sender's state that every message carries: digests of its tables and revisions of the registers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableDigests {
-    /// Of the table of members.
+    /// Digest of the table of members.
     pub members: u32,
-    /// Of the registry of endpoints.
+    /// Digest of the registry of endpoints.
     pub endpoints: u32,
-    /// Of the registers' latest known values.
+    /// Revisions of the register values that the sender holds.
     pub revisions: PerRegister<Revision>,
-    /// Which tables have settled.
+    /// Tables that have not changed recently.
     pub settled: SettledTables,
-    /// The latest evidence that the control nodes agree.
+    /// The latest quorum read that the sender knows of.
     pub quorum_read: Option<QuorumReadAge>,
 }
 
-/// Digests by hash range: sent where the digests of whole tables differ.
+/// Digests by hash range, sent when the digests of whole tables differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeDigests {
-    /// Of the table of members.
+    /// Digests of the table of members.
     pub members: [u32; MEMBER_RANGES],
-    /// Of the registry of endpoints.
+    /// Digests of the registry of endpoints.
     pub endpoints: [u32; DIGEST_RANGES],
 }
 
 impl RangeDigests {
-    /// The digest of the whole table of members.
+    /// Digest of the whole table of members.
     pub fn of_members(&self) -> u32 {
         combine(&self.members)
     }
 
-    /// The digest of the whole registry.
+    /// Digest of the whole registry of endpoints.
     pub fn of_endpoints(&self) -> u32 {
         combine(&self.endpoints)
     }
@@ -271,13 +277,13 @@
 /// A message: one datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// The node that sends it.
+    /// The sending node.
     pub sender: Sender,
-    /// Whether a response is asked for.
+    /// Whether the receiver must respond.
     pub wants_response: bool,
-    /// The digests of the sender's tables.
+    /// Summary of the sender's tables and registers.
     pub digests: TableDigests,
-    /// The same by range, where the tables are to be compared.
+    /// Digests by range; present when the receiver is to send the entries that differ.
     pub ranges: Option<RangeDigests>,
     /// Updates, pings and pongs.
     pub items: Vec<Item>,
--- a/crates/beechcroft-gossip/src/receive.rs
+++ b/crates/beechcroft-gossip/src/receive.rs
@@ -1,7 +1,7 @@
-//! Receiving messages: merging their items, comparing tables, refuting false reports.
+//! Handling of received messages: merging items, comparing tables, refuting false reports.
 
 use crate::dissemination::Update;
-use crate::gossip::{Action, Gossip, HeardAlarm, MissedRevision, Peer};
+use crate::gossip::{Action, Gossip, MissingRevision, Peer, ReceivedAlarm};
 use crate::message::{
     AlarmUpdate, Heartbeat, HotKeyUpdate, Item, Member, MemberState, Message, RangeDigests, Sender,
     TableDigests,
@@ -14,16 +14,17 @@
 use rapidhash::v3::rapidhash_v3;
 use std::net::SocketAddrV4;
 
-/// The longest time that a watcher with false reports waits for an answer, in milliseconds.
-const MAX_PATIENCE_MS: u64 = 10_000;
-/// The share of differing digests that are compared although the tables are changing: they might never stop.
+/// Upper bound of [`Peer::down_timeout_ms`], which doubles with each false report, in milliseconds.
+const MAX_DOWN_TIMEOUT_MS: u64 = 10_000;
+/// Share of the responses that compare tables which differ but have not settled. Without it, tables that change all
+/// the time would never be compared.
 const COMPARE_UNSETTLED_SHARE: f64 = 0.1;
-/// How long a node waits for a register's value to reach its region before it fetches it from another one, in
-/// milliseconds.
+/// How long a node waits for a newer register value to reach its region before it fetches the value from another
+/// region, in milliseconds.
 const FETCH_DELAY_MS: u64 = 350;
 
 impl Gossip {
-    /// A message has come.
+    /// Handles a received message. `from` is the source address of the datagram, to which responses are sent.
     pub fn on_message(
         &mut self,
         now: u64,
@@ -51,7 +52,7 @@
         self.merge_quorum_read(now, &digests);
         self.fetch_newer_registers(now, from, &name, &digests, actions);
         match ranges {
-            Some(theirs) => self.compare_ranges(now, from, wants_response, &theirs, actions),
+            Some(remote) => self.compare_ranges(now, from, wants_response, &remote, actions),
             None if wants_response => self.respond(from, &digests, actions),
             None => {}
         }
@@ -81,7 +82,7 @@
             ..peer.member.clone()
         };
         self.merge_member(now, member, actions);
-        // A node that was reported as down and sends a message is told at once: its next report refutes that.
+        // Tells a node at once that it was reported as down, so that it refutes the report.
         let known = &self.peers[&name].member;
         if known.state == MemberState::Down {
             let report = Item::Member(known.clone());
@@ -129,11 +130,11 @@
             Some(peer) if member.precedence() > peer.member.precedence() => {
                 peer.watched_since = None;
                 let before = std::mem::replace(&mut peer.member, member.clone());
-                let was_alive =
+                let was_falsely_down =
                     before.state == MemberState::Down && before.incarnation == member.incarnation;
-                if was_alive {
-                    // Whoever reports the same node falsely again and again loads the whole fleet.
-                    peer.patience_ms = (peer.patience_ms * 2).min(MAX_PATIENCE_MS);
+                if was_falsely_down {
+                    // Each false report and its refutation are disseminated to the whole fleet.
+                    peer.down_timeout_ms = (peer.down_timeout_ms * 2).min(MAX_DOWN_TIMEOUT_MS);
                 }
                 Some(before)
             }
@@ -144,7 +145,7 @@
         actions.push(Action::MembersChanged);
     }
 
-    /// Somebody believes something else of this node: its own report must win.
+    /// Refutes a report of another node about this one: raises the version, so that this node's own report wins.
     fn refute(&mut self, report: &Member) {
         if report.precedence() <= self.local.precedence() {
             return;
@@ -199,9 +200,9 @@
         if is_new && update.proxy != self.local.name {
             self.alarms.insert(
                 key,
-                HeardAlarm {
+                ReceivedAlarm {
                     update: update.clone(),
-                    heard_at: now,
+                    received_at: now,
                 },
             );
             self.enqueue(Update::Alarm(update.clone()));
@@ -211,14 +212,14 @@
 
     fn merge_hot_keys(&mut self, update: HotKeyUpdate, actions: &mut Vec<Action>) {
         let proxy = self.member(&update.proxy);
-        let is_near = proxy.is_some_and(|proxy| proxy.region == self.local.region);
+        let is_same_region = proxy.is_some_and(|proxy| proxy.region == self.local.region);
         let key = (update.proxy.clone(), update.service.clone());
         let number = (update.incarnation, update.sequence);
         let is_new = self
             .hot_keys_seen
             .get(&key)
             .is_none_or(|&held| held < number);
-        if is_near && is_new {
+        if is_same_region && is_new {
             self.hot_keys_seen.insert(key, number);
             self.enqueue(Update::HotKeys(update.clone()));
             actions.push(Action::HotKeys(update));
@@ -239,12 +240,12 @@
         }
     }
 
-    /// The age of a quorum read counts from the sending. A message that waited unread while this process was stalled
-    /// would make it look newer.
+    /// Merges the quorum read of a message. Its age was computed when the message was sent, so a message that waited
+    /// unread while this process was stalled would make the read look newer than it is, and is ignored.
     fn merge_quorum_read(&mut self, now: u64, digests: &TableDigests) {
-        let may_have_waited = Safeguard::FreshQuorumReads.is_enabled()
+        let may_be_delayed = Safeguard::FreshQuorumReads.is_enabled()
             && (self.is_stalled(now) || now < self.trust_reads_from);
-        if let Some(read) = digests.quorum_read.filter(|_| !may_have_waited) {
+        if let Some(read) = digests.quorum_read.filter(|_| !may_be_delayed) {
             self.record_quorum_read(now.saturating_sub(u64::from(read.age_ms)), read.revision);
         }
     }
@@ -259,7 +260,7 @@
     ) {
         for (register, &revision) in digests.revisions.iter() {
             let is_newer = revision > self.revisions[register];
-            if is_newer && self.may_fetch(now, register, revision, sender) {
+            if is_newer && self.should_fetch(now, register, revision, sender) {
                 actions.push(Action::FetchRegister {
                     from,
                     register,
@@ -269,9 +270,12 @@
         }
     }
 
-    /// Values are large, and bytes between regions cost most: one node of a region fetches from another one, and the
-    /// others from that node. They go to other regions themselves if none of their own has the value after a while.
-    fn may_fetch(
+    /// Whether this node fetches a newer register value from the named peer.
+    ///
+    /// Values are large, and traffic between regions is the most expensive: one node of each region, chosen by
+    /// rendezvous hashing, fetches from another region, and the other nodes fetch from nodes of their own region. They
+    /// fetch from other regions as well if the value has not reached their region after [`FETCH_DELAY_MS`].
+    fn should_fetch(
         &mut self,
         now: u64,
         register: RegisterId,
@@ -279,39 +283,39 @@
         from: &str,
     ) -> bool {
         let local = &self.local;
-        let is_near = self
+        let is_same_region = self
             .peers
             .get(from)
             .is_none_or(|peer| peer.member.region == local.region);
-        // The delay is for the oldest revision that is missed, whoever reports it.
-        let missed = &mut self.missed[register];
-        if missed.revision <= self.revisions[register] {
-            *missed = MissedRevision {
+        // The delay counts from the oldest revision that is missing, whichever peer reported it.
+        let missing = &mut self.missing[register];
+        if missing.revision <= self.revisions[register] {
+            *missing = MissingRevision {
                 revision,
                 since: now,
             };
         }
-        let is_delayed_enough = now >= missed.since + FETCH_DELAY_MS;
+        let is_delay_over = now >= missing.since + FETCH_DELAY_MS;
         let weight = |name: &str| rapidhash_v3(format!("{name} fetches").as_bytes());
         let own_weight = weight(&self.local.name);
         let mut neighbours = self
             .live_members()
             .filter(|member| member.region == self.local.region);
-        // A node that has no value yet serves nobody: it takes the first one that it gets.
-        let has_none = self.revisions[register] == Revision::NONE;
-        is_near
-            || has_none
-            || is_delayed_enough
+        // A node without any value cannot serve requests, so it fetches from the first peer that has one.
+        let has_no_value = self.revisions[register] == Revision::NONE;
+        is_same_region
+            || has_no_value
+            || is_delay_over
             || neighbours.all(|member| weight(&member.name) < own_weight)
     }
 
-    /// Answers a ping: with the digests by range where the tables differ.
-    fn respond(&mut self, to: SocketAddrV4, theirs: &TableDigests, actions: &mut Vec<Action>) {
-        let mine = self.table_digests();
-        let members_differ = mine.members != theirs.members;
-        let endpoints_differ = mine.endpoints != theirs.endpoints;
-        let members_settled = mine.settled.members && theirs.settled.members;
-        let endpoints_settled = mine.settled.endpoints && theirs.settled.endpoints;
+    /// Responds to a message without range digests. The response carries them if the tables differ and have settled.
+    fn respond(&mut self, to: SocketAddrV4, remote: &TableDigests, actions: &mut Vec<Action>) {
+        let local = self.table_digests();
+        let members_differ = local.members != remote.members;
+        let endpoints_differ = local.endpoints != remote.endpoints;
+        let members_settled = local.settled.members && remote.settled.members;
+        let endpoints_settled = local.settled.endpoints && remote.settled.endpoints;
         let compares_unsettled =
             (members_differ || endpoints_differ) && self.rng.random_bool(COMPARE_UNSETTLED_SHARE);
         if members_differ && members_settled
@@ -324,29 +328,33 @@
         }
     }
 
-    /// Sends what lies in the ranges in which the tables differ.
+    /// Sends the entries of the ranges in which the tables differ, and this node's own range digests if the peer wants
+    /// a response.
     fn compare_ranges(
         &self,
         now: u64,
         to: SocketAddrV4,
         wants_response: bool,
-        theirs: &RangeDigests,
+        remote: &RangeDigests,
         actions: &mut Vec<Action>,
     ) {
-        let mine = self.range_digests();
-        let is_differing = |member: &&Member| {
+        let local = self.range_digests();
+        let is_in_differing_range = |member: &&Member| {
             let range = member.digest_range();
-            mine.members[range] != theirs.members[range]
+            local.members[range] != remote.members[range]
         };
-        let members = self.members().chain([&self.local]).filter(is_differing);
+        let members = self
+            .members()
+            .chain([&self.local])
+            .filter(is_in_differing_range);
         let mut items: Vec<Item> = members.cloned().map(Item::Member).collect();
-        let ids = self.endpoints.ids_in_differing_ranges(&theirs.endpoints);
+        let ids = self.endpoints.ids_in_differing_ranges(&remote.endpoints);
         items.extend(
             ids.filter_map(|id| self.endpoints.record(now, id))
                 .map(Item::Endpoint),
         );
         if wants_response || !items.is_empty() {
-            self.send(to, &items, false, wants_response.then_some(&mine), actions);
+            self.send(to, &items, false, wants_response.then_some(&local), actions);
         }
     }
 }
