--- a/crates/beechcroft-balancer/src/budgets.rs
+++ b/crates/beechcroft-balancer/src/budgets.rs
@@ -7,7 +7,7 @@
 /// Retries that one proxy may save at most.
 const MAX_SAVED_RETRIES: f64 = 5.0;
 /// Canary requests that all proxies together may hold before any was earned.
-pub const CANARY_CREDIT: f64 = 10.0;
+pub const INITIAL_CANARY_TOKENS: f64 = 10.0;
 /// Canary requests that one proxy may save at most.
 const MAX_SAVED_CANARY: f64 = 1.5;
 
@@ -86,7 +86,7 @@
     }
 
     /// How long a piece has to wait for its turn, in microseconds.
-    pub fn wait_us(&mut self, now_us: u64, bytes: usize) -> u64 {
+    pub fn reserve_us(&mut self, now_us: u64, bytes: usize) -> u64 {
         let now = now_us as f64;
         let start = self.free_at_us.max(now);
         self.free_at_us = start + bytes as f64 / self.bytes_per_s.max(1.0) * 1e6;
@@ -107,7 +107,7 @@
     /// `draw`: evenly from 0 to 1. Where each of many proxies is asked little, none would earn a whole canary request for
     /// long. Starting somewhere between two of them, canary requests come as often as all proxies are asked.
     pub fn new(draw: f64, proxies: usize) -> CanaryQuota {
-        let credit = (CANARY_CREDIT / proxies.max(1) as f64).min(1.0);
+        let credit = (INITIAL_CANARY_TOKENS / proxies.max(1) as f64).min(1.0);
         CanaryQuota {
             tokens: draw * credit,
             ..CanaryQuota::default()
--- a/crates/beechcroft-balancer/src/lib.rs
+++ b/crates/beechcroft-balancer/src/lib.rs
@@ -13,7 +13,7 @@
 mod subset;
 mod upstream;
 
-pub use budgets::{CanaryQuota, LinkPacer, RetryBudget, SlowStart, CANARY_CREDIT};
+pub use budgets::{CanaryQuota, LinkPacer, RetryBudget, SlowStart, INITIAL_CANARY_TOKENS};
 pub use load_balancer::{KeyAffinity, LoadBalancer, Pick, PickError, PickRequest};
 pub use subset::{subset, ProxyPosition};
 pub use upstream::{Upstream, VersionClass, EJECTION_MS};
--- a/crates/beechcroft-balancer/src/load_balancer.rs
+++ b/crates/beechcroft-balancer/src/load_balancer.rs
@@ -36,7 +36,7 @@
     /// Whether its responses are large.
     pub is_bulk: bool,
     /// Whether the agreed placement binds it, and not this proxy's newest view: it must not be executed twice.
-    pub is_placed: bool,
+    pub follows_placement: bool,
     /// Its key, where its service serves keys at few endpoints.
     pub key: Option<KeyAffinity>,
     /// Endpoints that it was sent to before.
@@ -53,7 +53,7 @@
     /// Whether that is more than usual: the key may hold a part of each endpoint's slots only.
     pub is_hot: bool,
     /// The endpoint that the client's connection is bound to.
-    pub bound: Option<Rc<str>>,
+    pub bound_endpoint: Option<Rc<str>>,
     /// Whether every proxy sends it to the same endpoint: it must not be executed twice.
     pub is_exclusive: bool,
 }
@@ -68,7 +68,7 @@
     /// Whether it has a free slot, as far as this proxy can tell.
     pub has_free_slot: bool,
     /// Whether it is in this proxy's own region.
-    pub is_near: bool,
+    pub is_same_region: bool,
 }
 
 /// Why no endpoint takes a request.
@@ -216,7 +216,8 @@
         let upstreams = self.services.get(service)?.iter();
         let included =
             upstreams.filter(|upstream| upstream.is_available && !is_excluded(&upstream.id));
-        let candidates = included.map(|upstream| (&upstream.id, &*upstream.id, Proximity::Region));
+        let candidates =
+            included.map(|upstream| (&upstream.id, &*upstream.id, Proximity::SameRegion));
         rank_endpoints(key, candidates)
             .first()
             .map(|id| (*id).clone())
@@ -227,7 +228,7 @@
         let is_healthy = |upstream: &&Upstream| {
             upstream.is_warm(now)
                 && !upstream.is_ejected(now)
-                && !upstream.is_silent
+                && !upstream.is_heartbeat_overdue
                 && !upstream.is_ejected_by_fleet
         };
         let upstreams = self.services.get(service).into_iter().flatten();
@@ -299,8 +300,8 @@
 
     fn is_healthy(&self, at: usize) -> bool {
         let upstream = &self.upstreams[at];
-        let is_ejected_by_fleet = upstream.is_ejected_by_fleet && !self.request.is_placed;
-        !upstream.is_ejected(self.now) && !upstream.is_silent && !is_ejected_by_fleet
+        let is_ejected_by_fleet = upstream.is_ejected_by_fleet && !self.request.follows_placement;
+        !upstream.is_ejected(self.now) && !upstream.is_heartbeat_overdue && !is_ejected_by_fleet
     }
 
     fn load_with_one_more(&self, at: usize) -> f64 {
@@ -313,13 +314,13 @@
 
     fn proximity(&self, upstream: &Upstream, key: &KeyAffinity) -> Proximity {
         if key.is_exclusive {
-            Proximity::Region // the same for every proxy
+            Proximity::SameRegion // the same for every proxy
         } else if *upstream.region != *self.region {
-            Proximity::Far
+            Proximity::OtherRegion
         } else if *upstream.zone != *self.zone {
-            Proximity::Region
+            Proximity::SameRegion
         } else {
-            Proximity::Zone
+            Proximity::SameZone
         }
     }
 
@@ -327,7 +328,7 @@
     fn by_key(&mut self, healthy: &[usize], key: &KeyAffinity) -> Option<usize> {
         let max_load = Upstream::max_load(self.request.priority);
         let bears = |choice: &Self, at: usize| choice.load_with_one_more(at) <= max_load;
-        if let Some(bound) = &key.bound {
+        if let Some(bound) = &key.bound_endpoint {
             let at = healthy
                 .iter()
                 .copied()
--- a/crates/beechcroft-balancer/src/upstream.rs
+++ b/crates/beechcroft-balancer/src/upstream.rs
@@ -51,13 +51,13 @@
     /// Whether it is ready and its zone is not evacuated.
     pub is_available: bool,
     /// Whether its heartbeats have stopped.
-    pub is_silent: bool,
+    pub is_heartbeat_overdue: bool,
     /// Whether the proxies of all regions together found it unhealthy, or it cannot be reached from here.
     pub is_ejected_by_fleet: bool,
     /// Whether the agreed placement excludes it for non-idempotent requests.
-    pub is_excluded: bool,
+    pub is_excluded_by_placement: bool,
     /// When it will have warmed up.
-    pub warm_at: u64,
+    pub warmup_ends_at: u64,
     /// Requests a second that this proxy may send to it while it warms up; 0 for most proxies.
     pub slow_start_rate: f64,
     slow_start: SlowStart,
@@ -90,10 +90,10 @@
             capacity: capacity.max(1),
             class: VersionClass::Excluded,
             is_available: false,
-            is_silent: false,
+            is_heartbeat_overdue: false,
             is_ejected_by_fleet: false,
-            is_excluded: false,
-            warm_at: 0,
+            is_excluded_by_placement: false,
+            warmup_ends_at: 0,
             slow_start_rate: 0.0,
             slow_start: SlowStart::default(),
             in_flight: 0,
@@ -131,7 +131,7 @@
     }
 
     pub(crate) fn is_warm(&self, now: u64) -> bool {
-        self.warm_at <= now
+        self.warmup_ends_at <= now
     }
 
     pub(crate) fn is_ejected(&self, now: u64) -> bool {
@@ -145,7 +145,7 @@
             && self.is_available
             && (homes.is_empty() || homes.iter().any(|home| **home == *self.region))
             && !request.tried.contains(&self.id)
-            && !(request.is_placed && self.is_excluded)
+            && !(request.follows_placement && self.is_excluded_by_placement)
     }
 
     pub(crate) fn pick(&self, now: u64, region: &str) -> Pick {
@@ -153,7 +153,7 @@
             id: self.id.clone(),
             address: self.address,
             has_free_slot: self.has_free_slot(now),
-            is_near: *self.region == *region,
+            is_same_region: *self.region == *region,
         }
     }
 
--- a/crates/beechcroft-control/src/state_owner/rollouts.rs
+++ b/crates/beechcroft-control/src/state_owner/rollouts.rs
@@ -5,7 +5,7 @@
 use beechcroft_gossip::AlarmUpdate;
 use beechcroft_registry::EndpointState;
 use beechcroft_rollout::progression::{
-    decide, excess_of_few_endpoints, Decision, EarlierStages, StageView,
+    decide, outlier_endpoint_evidence, Decision, EarlierStages, StageView,
 };
 use beechcroft_rollout::TrialCount;
 use std::collections::BTreeMap;
@@ -154,7 +154,7 @@
             stage: seen.stage,
             stage_ms: now - seen.since,
             ramp_ms: rollout.ramp_ms,
-            earlier: seen.earlier,
+            earlier_stages: seen.earlier,
             canary_share: bounds.canary_share,
             canary_margin: bounds.canary_margin,
             ..StageView::default()
@@ -174,7 +174,7 @@
     fn add_slots(&self, view: &mut StageView, now: u64, service: &str, target: &str) {
         for endpoint in self.endpoints_of(service) {
             let record = &endpoint.record;
-            if record.state != EndpointState::Ready || endpoint.warm_at > now {
+            if record.state != EndpointState::Ready || endpoint.warmup_ends_at > now {
                 continue;
             }
             let slots = match record.version == target {
@@ -244,5 +244,5 @@
         .stage_ms
         .max(ages.get(ages.len() / 2).copied().unwrap_or(0));
     view.baseline_failure_rate /= f64::max(updates.len() as f64, 1.0);
-    view.few_endpoints_nats = excess_of_few_endpoints(&endpoints, view.baseline_failure_rate);
+    view.outlier_endpoint_nats = outlier_endpoint_evidence(&endpoints, view.baseline_failure_rate);
 }
--- a/crates/beechcroft-control/src/state_owner/show.rs
+++ b/crates/beechcroft-control/src/state_owner/show.rs
@@ -26,7 +26,7 @@
         let _ = writeln!(text, "verdict {verdict:?} by {rules:?}");
         let detector = self.detectors.get(service);
         for line in detector
-            .map(|detector| detector.evidence(key))
+            .map(|detector| detector.evidence_lines(key))
             .unwrap_or_default()
         {
             let _ = writeln!(text, "{line}");
@@ -65,7 +65,7 @@
         }
         for endpoint in self.gossip.endpoints().iter() {
             let record = &endpoint.record;
-            let heard = now.saturating_sub(endpoint.heard_at);
+            let heard = now.saturating_sub(endpoint.last_heartbeat_at);
             let _ = writeln!(
                 text,
                 "unit {} {} {} {} {:?} heard {heard} ms ago",
--- a/crates/beechcroft-gossip/src/gossip.rs
+++ b/crates/beechcroft-gossip/src/gossip.rs
@@ -294,7 +294,7 @@
         let warm_at = self
             .endpoints
             .get(&id)
-            .map_or(0, |endpoint| endpoint.warm_at);
+            .map_or(0, |endpoint| endpoint.warmup_ends_at);
         let reported_warm_at = now + u64::from(record.warmup_left_ms);
         let is_colder =
             record.warmup_left_ms > 0 && reported_warm_at > warm_at + WARMUP_TOLERANCE_MS;
--- a/crates/beechcroft-hotkeys/src/affinity.rs
+++ b/crates/beechcroft-hotkeys/src/affinity.rs
@@ -29,15 +29,15 @@
         held.map(|held| held.endpoint.clone())
     }
 
-    /// An endpoint has responded. `fresh_ms`: within so long all endpoints hold what one has acknowledged or shown.
-    pub fn on_response(&mut self, now: u64, key: u64, endpoint: &Rc<str>, fresh_ms: u64) {
+    /// An endpoint has responded. `max_staleness_ms`: within so long all endpoints hold what one has acknowledged or shown.
+    pub fn on_response(&mut self, now: u64, key: u64, endpoint: &Rc<str>, max_staleness_ms: u64) {
         self.0
             .retain(|held| held.key != key && held.expires_at > now);
         if self.0.len() >= MAX_KEYS {
             self.0.remove(0);
         }
-        if fresh_ms > 0 {
-            let (endpoint, expires_at) = (endpoint.clone(), now + fresh_ms);
+        if max_staleness_ms > 0 {
+            let (endpoint, expires_at) = (endpoint.clone(), now + max_staleness_ms);
             self.0.push(Binding {
                 key,
                 endpoint,
--- a/crates/beechcroft-hotkeys/src/detector.rs
+++ b/crates/beechcroft-hotkeys/src/detector.rs
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceCapacity {
     /// Endpoints that serve a key that is not hot.
-    pub usual_endpoints: usize,
+    pub default_spread: usize,
     /// Requests a second that one endpoint bears.
     pub endpoint_rate: f64,
     /// Endpoints to spread a key over.
@@ -220,7 +220,7 @@
     }
 
     /// The rate of a key in the region, as far as it is reported.
-    pub fn rate(&self, key: u64) -> f64 {
+    pub fn regional_rate(&self, key: u64) -> f64 {
         let reported = self.peers.values().flat_map(|peer| &peer.report.keys);
         let rates = reported
             .filter(|(of, _)| *of == key)
@@ -242,12 +242,12 @@
         self.faded_at = now;
         self.sketch.decay(fade);
         self.total *= fade;
-        let usual_rate = TARGET_SHARE * capacity.endpoint_rate * capacity.usual_endpoints as f64;
+        let usual_rate = TARGET_SHARE * capacity.endpoint_rate * capacity.default_spread as f64;
         self.report_threshold = REPORT_SHARE * usual_rate / proxies.max(1) as f64;
         self.peers
             .retain(|_, peer| peer.heard_at + REPORT_LAPSE_MS > now);
         for key in self.candidates() {
-            let rate = self.rate(key);
+            let rate = self.regional_rate(key);
             self.adjust_spread(now, key, rate, capacity);
         }
     }
@@ -265,7 +265,7 @@
 
     fn adjust_spread(&mut self, now: u64, key: u64, rate: f64, capacity: ServiceCapacity) {
         let ServiceCapacity {
-            usual_endpoints: usual,
+            default_spread: usual,
             endpoint_rate,
             endpoints,
         } = capacity;
--- a/crates/beechcroft-hotkeys/src/rendezvous.rs
+++ b/crates/beechcroft-hotkeys/src/rendezvous.rs
@@ -6,11 +6,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Proximity {
     /// In the same zone.
-    Zone,
+    SameZone,
     /// In another zone of the region.
-    Region,
+    SameRegion,
     /// In another region.
-    Far,
+    OtherRegion,
 }
 
 /// The weight of endpoints in the proxy's own zone, over those of other zones.
@@ -29,14 +29,14 @@
     let hash = (rapidhash_v3(endpoint.as_bytes()) ^ key).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let hash = (hash ^ (hash >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let uniform = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-    let weight = if proximity == Proximity::Zone {
+    let weight = if proximity == Proximity::SameZone {
         ZONE_WEIGHT
     } else {
         1.0
     };
     // -w / ln(u) is above 0; the weights of far endpoints all stay below those of near ones.
     let score = -weight / uniform.ln();
-    if proximity == Proximity::Far {
+    if proximity == Proximity::OtherRegion {
         -1.0 / score
     } else {
         score
--- a/crates/beechcroft-lab/src/hot_keys.rs
+++ b/crates/beechcroft-lab/src/hot_keys.rs
@@ -168,7 +168,7 @@
         let before = crate::ALLOCATED.stats();
         let mut detector = beechcroft_hotkeys::HotKeyDetector::default();
         let capacity = beechcroft_hotkeys::ServiceCapacity {
-            usual_endpoints: USUAL,
+            default_spread: USUAL,
             endpoint_rate: 200.0,
             endpoints: 40,
         };
--- a/crates/beechcroft-outlier/src/detector.rs
+++ b/crates/beechcroft-outlier/src/detector.rs
@@ -5,7 +5,7 @@
 use beechcroft_config::config::OutlierRules;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Periods that [`OutlierDetector::evidence`] shows of each proxy.
+/// Periods that [`OutlierDetector::evidence_lines`] shows of each proxy.
 const SHOWN_PERIODS: usize = 5;
 
 /// The evidence on one service's endpoints.
@@ -28,7 +28,7 @@
             .map(|&(_, period)| period)
             .max()
             .unwrap_or(0);
-        if observation.is_cut_off() || observation.period + STALE_PERIODS < latest {
+        if observation.is_proxy_isolated() || observation.period + STALE_PERIODS < latest {
             return;
         }
         let Observation {
@@ -54,7 +54,7 @@
     }
 
     /// Endpoints that some proxy has lately reported: whoever sends requests to them reports what it observes.
-    pub fn suspects(&self) -> BTreeSet<EndpointKey> {
+    pub fn suspected_endpoints(&self) -> BTreeSet<EndpointKey> {
         let now = self.now();
         let is_suspect = |(_, evidence): &(&EndpointKey, &Evidence)| evidence.has_failures(now);
         self.endpoints
@@ -80,7 +80,7 @@
     }
 
     /// What proxies have reported of an endpoint: a line for each, the latest periods first.
-    pub fn evidence(&self, endpoint: EndpointKey) -> Vec<String> {
+    pub fn evidence_lines(&self, endpoint: EndpointKey) -> Vec<String> {
         let proxies = self
             .endpoints
             .get(&endpoint)
--- a/crates/beechcroft-outlier/src/observation.rs
+++ b/crates/beechcroft-outlier/src/observation.rs
@@ -73,7 +73,7 @@
 
 impl Observation {
     /// Whether the proxy reaches hardly any endpoint: it is cut off itself, and the observation is about its own link.
-    pub fn is_cut_off(&self) -> bool {
+    pub fn is_proxy_isolated(&self) -> bool {
         let is_lost = |counts: &OutcomeCounts| counts.unreachable > 0 && counts.reached() == 0;
         let lost = self
             .endpoints
--- a/crates/beechcroft-proxy/src/forward.rs
+++ b/crates/beechcroft-proxy/src/forward.rs
@@ -11,7 +11,7 @@
 use beechcroft_outlier::placement::{check_placement, PlacementError};
 use beechcroft_outlier::OutcomeCounts;
 use beechcroft_retry::{AttemptOutcome, Decision, RetryState};
-use beechcroft_rollout::progression::{stage_share, takes_retries, LAST_STAGE};
+use beechcroft_rollout::progression::{canary_takes_retries, stage_share, LAST_STAGE};
 use beechcroft_rollout::{short_id, RequestOutcome};
 use beechcroft_routing::{CompiledRoute, RoutingTable};
 use beechcroft_transport::connection::{BodyReader, Connection};
@@ -85,7 +85,7 @@
     }
 
     fn reject(&self, kind: ErrorKind) -> ForwardResult {
-        let retry_after_ms = (self.route.target_ms as f64 * RETRY_AFTER_SHARE) as u64;
+        let retry_after_ms = (self.route.latency_target_ms as f64 * RETRY_AFTER_SHARE) as u64;
         ForwardResult::Own {
             kind,
             retry_after_ms,
@@ -260,7 +260,7 @@
             key,
             spread: spread.unwrap_or(service.usual_places),
             is_hot: spread.is_some(),
-            bound: self.request.affinity.borrow().endpoint(now, key),
+            bound_endpoint: self.request.affinity.borrow().endpoint(now, key),
             is_exclusive: !self.request.route.is_idempotent(),
         })
     }
@@ -296,7 +296,7 @@
             home_regions: &route.home_regions,
             priority: route.priority,
             is_bulk: route.route_type == RouteType::Download,
-            is_placed: self.request.is_placed(),
+            follows_placement: self.request.is_placed(),
             key: self.key_affinity(),
             tried: &self.tried,
         }
@@ -306,11 +306,11 @@
     fn pick(&mut self) -> Result<Pick, ErrorKind> {
         let service = self.request.service_name();
         if let Some(kind) = self.placement_error() {
-            return Err(self.retry.no_endpoint(kind));
+            return Err(self.retry.no_endpoint_error(kind));
         }
         let stage = self.shared.rollout_stage(service);
         let is_retry = !self.tried.is_empty();
-        if is_retry && self.class == VersionClass::Canary && !takes_retries(stage) {
+        if is_retry && self.class == VersionClass::Canary && !canary_takes_retries(stage) {
             self.class = VersionClass::Base;
         }
         // In the last stage there may be no endpoint of the base version left to take a retry.
@@ -336,10 +336,10 @@
                     may_fall_back = false;
                 }
                 Err(PickError::Overloaded) => {
-                    return Err(self.retry.no_endpoint(ErrorKind::Overloaded));
+                    return Err(self.retry.no_endpoint_error(ErrorKind::Overloaded));
                 }
                 Err(PickError::NoEndpoint) => {
-                    return Err(self.retry.no_endpoint(ErrorKind::NoEndpoint));
+                    return Err(self.retry.no_endpoint_error(ErrorKind::NoEndpoint));
                 }
             }
         }
@@ -347,14 +347,14 @@
 
     /// When a hedged attempt may begin: after what nearly all requests of the route take.
     fn hedge_at(&self) -> Option<Instant> {
-        let target_ms = self.request.route.target_ms as f64;
+        let target_ms = self.request.route.latency_target_ms as f64;
         if !self.retry.may_hedge() || target_ms <= 0.0 {
             return None;
         }
         let detectors = self.shared.canary_detectors.borrow();
         let detector = detectors.get(self.request.service_name());
         let route = self.request.route_index as u32;
-        let usual = detector.and_then(|detector| detector.usual_latency(route));
+        let usual = detector.and_then(|detector| detector.p95_latency(route));
         let (least, most) = (MIN_HEDGE_SHARE * target_ms, MAX_HEDGE_SHARE * target_ms);
         let delay_ms = usual.map_or(most, |usual| {
             (usual.as_secs_f64() * 1000.0).clamp(least, most)
@@ -375,7 +375,7 @@
     fn pick_hedge(&mut self) -> Option<Pick> {
         let service = self.request.service_name();
         let stage = self.shared.rollout_stage(service);
-        let class = if takes_retries(stage) {
+        let class = if canary_takes_retries(stage) {
             self.class
         } else {
             VersionClass::Base
@@ -456,7 +456,7 @@
         id: unit,
         address,
         has_free_slot,
-        is_near,
+        is_same_region,
     } = plan.pick.clone();
     let mut tracker = AttemptTracker::new(shared, request, plan, is_answered);
     let mut load = None;
@@ -466,7 +466,7 @@
         streamed_body,
         unit: unit.clone(),
         address,
-        is_near,
+        is_near: is_same_region,
         max_connections: request.service().max_conns,
         is_exclusive,
         deadline: request.deadline,
@@ -575,7 +575,7 @@
         let mut balancer = shared.balancer.borrow_mut();
         balancer.request_started(service, &unit);
         let upstream = balancer.upstream_mut(service, &unit);
-        let is_warming_up = upstream.is_some_and(|upstream| upstream.warm_at > now);
+        let is_warming_up = upstream.is_some_and(|upstream| upstream.warmup_ends_at > now);
         drop(balancer);
         AttemptTracker {
             shared,
@@ -604,7 +604,7 @@
         let service = self.request.service();
         let Some(rules) = &service.unfit else { return };
         let latency_ms = self.started_at.elapsed().as_secs_f64() * 1000.0;
-        let late_ms = rules.late_times * self.request.route.target_ms as f64;
+        let late_ms = rules.late_times * self.request.route.latency_target_ms as f64;
         let is_late = rules.late_times > 0.0 && latency_ms > late_ms;
         let mut outcome_counts = self.shared.outcome_counts.borrow_mut();
         let of_service = outcome_counts.entry(service.name.clone()).or_default();
--- a/crates/beechcroft-proxy/src/shared.rs
+++ b/crates/beechcroft-proxy/src/shared.rs
@@ -161,7 +161,7 @@
             Direction::Out => &pacers.outgoing,
         };
         let now_us = self.started_at.elapsed().as_micros() as u64;
-        let wait_us = pacer.borrow_mut().wait_us(now_us, bytes);
+        let wait_us = pacer.borrow_mut().reserve_us(now_us, bytes);
         if wait_us > MIN_PACE_US {
             sleep(Duration::from_micros(wait_us)).await;
         }
--- a/crates/beechcroft-proxy/src/state_owner/endpoints.rs
+++ b/crates/beechcroft-proxy/src/state_owner/endpoints.rs
@@ -68,13 +68,13 @@
         let Some(endpoint) = endpoints.get(id).filter(is_alive) else {
             return;
         };
-        let (address, heard_at) = (endpoint.record.address, endpoint.heard_at);
+        let (address, heard_at) = (endpoint.record.address, endpoint.last_heartbeat_at);
         let rivals = endpoints
             .iter()
             .filter(is_alive)
             .filter(|other| other.record.address == address && other.record.id != id);
         let rivals: Vec<(String, u64)> = rivals
-            .map(|other| (other.record.id.clone(), other.heard_at))
+            .map(|other| (other.record.id.clone(), other.last_heartbeat_at))
             .collect();
         let ended: Vec<String> = match rivals.iter().any(|(_, at)| *at > heard_at) {
             true => vec![id.to_owned()],
@@ -120,8 +120,9 @@
         upstream.is_available = record.state == EndpointState::Ready
             && !operations.evacuated_zones.contains(&record.zone);
         let placement = operations.placements.get(&record.service);
-        upstream.is_excluded = placement.is_some_and(|held| held.excluded.contains(id));
-        upstream.warm_at = self.warm_at(now, endpoint);
+        upstream.is_excluded_by_placement =
+            placement.is_some_and(|held| held.excluded.contains(id));
+        upstream.warmup_ends_at = self.warm_at(now, endpoint);
         upstream.slow_start_rate = self.slow_start_rate(now, endpoint);
     }
 
@@ -138,13 +139,15 @@
         let record = &endpoint.record;
         let doubt = self.doubts.get(&record.id);
         let doubt = doubt.filter(|doubt| record.sequence < doubt.sequence && now < doubt.until);
-        doubt.map_or(endpoint.warm_at, |doubt| doubt.until.max(endpoint.warm_at))
+        doubt.map_or(endpoint.warmup_ends_at, |doubt| {
+            doubt.until.max(endpoint.warmup_ends_at)
+        })
     }
 
     /// Requests a second that this proxy may send to an endpoint while it warms up.
     fn slow_start_rate(&self, now: u64, endpoint: &Endpoint) -> f64 {
         let record = &endpoint.record;
-        if endpoint.warm_at <= now || !self.is_slow_start_proxy(&record.id) {
+        if endpoint.warmup_ends_at <= now || !self.is_slow_start_proxy(&record.id) {
             return 0.0;
         }
         let routes = self.shared.routes.borrow();
@@ -193,7 +196,8 @@
         // Only every few heartbeats are passed on.
         let heartbeats = HEARTBEATS_PER_UPDATE + MISSED_HEARTBEATS;
         let patience_ms = heartbeats * self.shared.settings.heartbeat_ms + UPDATE_DELAY_MS;
-        let is_silent = |endpoint: &Endpoint| now.saturating_sub(endpoint.heard_at) > patience_ms;
+        let is_silent =
+            |endpoint: &Endpoint| now.saturating_sub(endpoint.last_heartbeat_at) > patience_ms;
         let ready = || {
             let endpoints = self.gossip.endpoints().iter();
             endpoints.filter(|endpoint| endpoint.record.state == EndpointState::Ready)
@@ -204,7 +208,7 @@
         for endpoint in ready() {
             let record = &endpoint.record;
             if let Some(upstream) = balancer.upstream_mut(&record.service, &record.id) {
-                upstream.is_silent = !are_most_silent && is_silent(endpoint);
+                upstream.is_heartbeat_overdue = !are_most_silent && is_silent(endpoint);
             }
         }
     }
--- a/crates/beechcroft-proxy/src/state_owner/hot_keys.rs
+++ b/crates/beechcroft-proxy/src/state_owner/hot_keys.rs
@@ -83,7 +83,7 @@
             .max(1.0);
         let slots_each = f64::from(slots) / f64::max(endpoints as f64, 1.0);
         ServiceCapacity {
-            usual_endpoints: service.usual_places,
+            default_spread: service.usual_places,
             endpoint_rate: slots_each / latency_ms * 1000.0,
             endpoints,
         }
--- a/crates/beechcroft-proxy/src/state_owner/outliers.rs
+++ b/crates/beechcroft-proxy/src/state_owner/outliers.rs
@@ -47,7 +47,7 @@
             .entry(service.name.clone())
             .or_default();
         detector.advance_clock(period);
-        let suspects = detector.suspects();
+        let suspects = detector.suspected_endpoints();
         let filter = self
             .observation_filters
             .entry(service.name.clone())
--- a/crates/beechcroft-registry/src/lib.rs
+++ b/crates/beechcroft-registry/src/lib.rs
@@ -94,9 +94,9 @@
     /// The newest record.
     pub record: EndpointRecord,
     /// When its latest heartbeat was heard.
-    pub heard_at: u64,
+    pub last_heartbeat_at: u64,
     /// When it will have warmed up.
-    pub warm_at: u64,
+    pub warmup_ends_at: u64,
 }
 
 /// What merging a record did.
@@ -130,8 +130,8 @@
 impl EndpointRegistry {
     /// Merges a record: what was new in it. Records may come in any order and any number of times.
     pub fn merge(&mut self, now: u64, record: EndpointRecord) -> MergeOutcome {
-        let heard_at = now.saturating_sub(u64::from(record.age_ms));
-        let warm_at = heard_at + u64::from(record.warmup_left_ms);
+        let last_heartbeat_at = now.saturating_sub(u64::from(record.age_ms));
+        let warmup_ends_at = last_heartbeat_at + u64::from(record.warmup_left_ms);
         let range = range_of(&record.id);
         let Some(endpoint) = self.endpoints.get_mut(&record.id) else {
             self.digests[range] ^= digest_of(&record.id, record.state);
@@ -139,8 +139,8 @@
                 record.id.clone(),
                 Endpoint {
                     record,
-                    heard_at,
-                    warm_at,
+                    last_heartbeat_at,
+                    warmup_ends_at,
                 },
             );
             return MergeOutcome::Changed;
@@ -151,8 +151,8 @@
             // A later heartbeat of any state shows that the unit was alive then.
             held.sequence = record.sequence;
             held.warmup_left_ms = record.warmup_left_ms;
-            endpoint.heard_at = endpoint.heard_at.max(heard_at);
-            endpoint.warm_at = warm_at;
+            endpoint.last_heartbeat_at = endpoint.last_heartbeat_at.max(last_heartbeat_at);
+            endpoint.warmup_ends_at = warmup_ends_at;
         }
         if record.state > held.state {
             let (before, after) = (held.state, record.state);
@@ -195,7 +195,7 @@
         let digests = &mut self.digests;
         self.endpoints.retain(|id, endpoint| {
             let is_gone = endpoint.record.state == EndpointState::Gone;
-            let is_kept = !is_gone || endpoint.heard_at + RETENTION_MS > now;
+            let is_kept = !is_gone || endpoint.last_heartbeat_at + RETENTION_MS > now;
             if !is_kept {
                 digests[range_of(id)] ^= digest_of(id, EndpointState::Gone);
             }
@@ -222,7 +222,7 @@
     pub fn record(&self, now: u64, id: &str) -> Option<EndpointRecord> {
         let endpoint = self.endpoints.get(id)?;
         let age_ms = now
-            .saturating_sub(endpoint.heard_at)
+            .saturating_sub(endpoint.last_heartbeat_at)
             .min(u64::from(u32::MAX)) as u32;
         Some(EndpointRecord {
             age_ms,
--- a/crates/beechcroft-retry/src/state.rs
+++ b/crates/beechcroft-retry/src/state.rs
@@ -133,7 +133,7 @@
     }
 
     /// The error of a response where no endpoint takes the request, for a reason of this kind.
-    pub fn no_endpoint(&self, reason: ErrorKind) -> ErrorKind {
+    pub fn no_endpoint_error(&self, reason: ErrorKind) -> ErrorKind {
         match self.may_have_executed {
             true => ErrorKind::ResponseLost,
             false => reason,
@@ -141,6 +141,6 @@
     }
 
     fn reject(&self) -> Decision {
-        Decision::Respond(self.no_endpoint(ErrorKind::Overloaded))
+        Decision::Respond(self.no_endpoint_error(ErrorKind::Overloaded))
     }
 }
--- a/crates/beechcroft-rollout/src/baseline.rs
+++ b/crates/beechcroft-rollout/src/baseline.rs
@@ -42,7 +42,7 @@
     }
 
     /// What nearly all responses take, once enough are known.
-    pub(crate) fn usual_latency(&self) -> Option<Duration> {
+    pub(crate) fn p95_latency(&self) -> Option<Duration> {
         let is_known = self.latencies.total() >= MIN_LATENCIES;
         is_known.then(|| Histogram::edge(self.latencies.bin_at(SLOW_SHARE)))
     }
--- a/crates/beechcroft-rollout/src/detector.rs
+++ b/crates/beechcroft-rollout/src/detector.rs
@@ -161,8 +161,8 @@
     }
 
     /// What nearly all responses of the base version take on a route, once enough are known.
-    pub fn usual_latency(&self, route: u32) -> Option<Duration> {
-        self.baselines.get(&route)?.usual_latency()
+    pub fn p95_latency(&self, route: u32) -> Option<Duration> {
+        self.baselines.get(&route)?.p95_latency()
     }
 
     /// Records an outcome.
--- a/crates/beechcroft-rollout/src/progression.rs
+++ b/crates/beechcroft-rollout/src/progression.rs
@@ -66,7 +66,7 @@
 /// Whether retries of a request whose first attempt went to the new version go there, too. They are no evidence, as a
 /// request is one outcome, but they are requests that the version gets: with two of them a bad version gets three
 /// times its share. The base version's endpoints run until the rollout is complete and take them.
-pub fn takes_retries(stage: Option<u8>) -> bool {
+pub fn canary_takes_retries(stage: Option<u8>) -> bool {
     !Safeguard::RetriesToBaseline.is_enabled() && stage == Some(LAST_STAGE)
 }
 
@@ -87,8 +87,8 @@
     pub requests: u32,
     /// Requests to the service a second.
     pub request_rate: f64,
-    /// Evidence in nats that a few endpoints contribute beyond the median one: see [`excess_of_few_endpoints`].
-    pub few_endpoints_nats: f64,
+    /// Evidence in nats that a few endpoints contribute beyond the median one: see [`outlier_endpoint_evidence`].
+    pub outlier_endpoint_nats: f64,
     /// The base version's failure rate: the mean of what proxies report.
     pub baseline_failure_rate: f64,
     /// Some proxy has set its alarm.
@@ -100,7 +100,7 @@
     /// Requests in flight at the base version.
     pub baseline_in_flight: u32,
     /// What the stages before this one came to; `None` if this control node has not seen them.
-    pub earlier: Option<EarlierStages>,
+    pub earlier_stages: Option<EarlierStages>,
     /// `canaryShare` of the deployment.
     pub canary_share: f64,
     /// `canaryMargin` of the deployment.
@@ -133,7 +133,7 @@
 
 /// What a few endpoints contribute to the evidence beyond the median one, in nats. As in the proxies, that is the
 /// endpoints' own and not the version's: a quarter of them may be unhealthy.
-pub fn excess_of_few_endpoints(
+pub fn outlier_endpoint_evidence(
     endpoints: &BTreeMap<u16, TrialCount>,
     baseline_failure_rate: f64,
 ) -> f64 {
@@ -156,13 +156,13 @@
             trials: self.trials,
             failures: self.failures,
         };
-        count.nats(baseline_failure_rate) - self.few_endpoints_nats
+        count.nats(baseline_failure_rate) - self.outlier_endpoint_nats
     }
 
     /// The evidence of this stage on top of what those before it left. As in the paper's running sum, outcomes that
     /// speak for the version do not outweigh later ones.
     fn evidence(&self) -> StageEvidence {
-        let earlier = match self.earlier {
+        let earlier = match self.earlier_stages {
             Some(earlier) if Safeguard::EvidenceOfAllStages.is_enabled() => earlier.evidence,
             _ => StageEvidence::default(),
         };
@@ -180,7 +180,7 @@
     /// Whether the remaining stages no longer fit into the ramp. A good version has missed its term then, and a bad one
     /// that gets too few requests for a vote need not stay for ever.
     fn is_overdue(&self) -> bool {
-        let Some(earlier) = self.earlier else {
+        let Some(earlier) = self.earlier_stages else {
             return false;
         };
         let stages_left = f64::from(LAST_STAGE.saturating_sub(self.stage + 1));
@@ -218,7 +218,7 @@
     /// not. And nothing may speak against the version: what is at stake is estimated from the requests so far, and
     /// three times as many may come a second later. One failure among a few outcomes is 1.8 nats.
     fn risks_little(&self) -> bool {
-        let Some(earlier) = self.earlier else {
+        let Some(earlier) = self.earlier_stages else {
             return false;
         };
         let is_reported =
@@ -241,7 +241,7 @@
 
     /// What the stages up to and with this one came to, for the next stage.
     pub fn totals(&self) -> EarlierStages {
-        let earlier = self.earlier.unwrap_or_default();
+        let earlier = self.earlier_stages.unwrap_or_default();
         let requests = self.request_rate * self.stage_ms as f64 / 1000.0;
         EarlierStages {
             evidence: self.evidence(),
--- a/crates/beechcroft-routing/src/lib.rs
+++ b/crates/beechcroft-routing/src/lib.rs
@@ -28,7 +28,7 @@
     /// For a request to be answered, in milliseconds.
     pub timeout_ms: u64,
     /// The latency target, in milliseconds.
-    pub target_ms: u64,
+    pub latency_target_ms: u64,
     /// Its priority: 0 is the highest.
     pub priority: u8,
     /// The services that its requests go to.
@@ -69,7 +69,7 @@
             name: route.name.clone(),
             route_type: route.route_type,
             timeout_ms: route.timeout_ms,
-            target_ms: route.target_ms,
+            latency_target_ms: route.target_ms,
             priority: route.priority,
             services,
             max_attempts: route.retries.max(1),
--- a/crates/beechcroft-simulator/src/outlier_study.rs
+++ b/crates/beechcroft-simulator/src/outlier_study.rs
@@ -101,7 +101,7 @@
         for proxy in 0..watch.proxies {
             benches[proxy].advance_clock(second);
             let verdicts = benches[proxy].verdicts(rules, watch.units as usize, 3);
-            let asked = benches[proxy].suspects();
+            let asked = benches[proxy].suspected_endpoints();
             let mut units = Vec::new();
             for unit in 0..watch.units {
                 let ill = ill.filter(|_| unit == 0);
