--- a/crates/beechcroft-adapter/src/wire.rs
+++ b/crates/beechcroft-adapter/src/wire.rs
@@ -169,10 +169,10 @@
     fn terminate(&mut self, task: &TaskId) {
         self.line(format_args!("LOSE tid={}", task.0));
     }
-    fn abandon(&mut self, task: &TaskId, dispatch: DispatchNo) {
+    fn cancel(&mut self, task: &TaskId, dispatch: DispatchNo) {
         self.line(format_args!("ABANDON tid={} trial={}", task.0, dispatch.0));
     }
-    fn tell(&mut self, peer: Option<PeerId>, payload: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<PeerId>, payload: &[u8]) {
         let mut hex = String::with_capacity(payload.len() * 2);
         for byte in payload {
             let _ = write!(hex, "{byte:02x}");
@@ -197,14 +197,14 @@
             build.0, stage.0
         ));
     }
-    fn wake(&mut self, after: Duration, token: Token) {
+    fn set_timer(&mut self, after: Duration, token: TimerId) {
         self.line(format_args!(
             "WAKE_AT delay_s={} ref={}",
             micros(after),
             token.0
         ));
     }
-    fn follow_list(&mut self) {
+    fn watch_units(&mut self) {
         self.line(format_args!("TAIL want=1"));
     }
     fn log(&mut self, line: &str) {
@@ -357,7 +357,7 @@
             return Ok(());
         }
         let Instance { relay, names } = all.get_mut(&who).ok_or("who: not started")?;
-        relay.clock(self.now);
+        relay.set_time(self.now);
         match line.name {
             "TARGETS" => {
                 let scope = line.text("scope")?;
@@ -365,29 +365,29 @@
                     "whole" | "stale_copy" => true,
                     "patch" => false,
                     "broken" => {
-                        relay.list_failed(act);
+                        relay.discovery_failed(act);
                         return Ok(());
                     }
                     other => return Err(format!("scope: malformed '{other}'")),
                 };
                 let roster: u8 = line.num("roster_id")?;
                 let entries = self.rosters.get(&roster).ok_or("roster_id: unknown")?;
-                relay.list().begins(whole);
+                relay.fleet_mut().begin_update(whole);
                 for rest in entries {
                     let entry = Line { name: "M", rest };
                     let started = entry.opt::<f64>("started_at_s")?.unwrap_or(0.0).max(0.0);
-                    relay.list().entry(
+                    relay.fleet_mut().update_unit(
                         entry.unit()?,
                         BuildId(entry.num::<f64>("runs")? as u16),
                         entry.among("zone", &names.zones).map(ZoneId),
-                        KindId(entry.among("type", &names.kinds).unwrap_or(0)),
+                        MachineTypeId(entry.among("type", &names.kinds).unwrap_or(0)),
                         CellId(entry.opt("pod")?.unwrap_or(0)),
                         entry.health()?,
                         entry.opt("nominal")?.unwrap_or(1.0),
                         (started > 0.0).then(|| Duration::from_secs_f64(started)),
                     );
                 }
-                relay.list().ends();
+                relay.fleet_mut().finish_update();
             }
             "INBOUND" => {
                 let tenant = match line.get("client_group") {
@@ -395,7 +395,7 @@
                     Some(_) => Some(TenantId(line.position("client_group", &names.tenants)?)),
                 };
                 let work: Option<f64> = line.opt("work_hint_s")?;
-                relay.task_taken(
+                relay.task_received(
                     line.task()?,
                     TrackId(line.position("band", &names.tracks)?),
                     tenant,
@@ -409,7 +409,7 @@
                 line.span("spent_s")?;
                 line.unit()?;
                 line.num::<u32>("trial")?;
-                relay.stream_began(&line.task()?);
+                relay.response_started(&line.task()?);
             }
             "REPORT_BACK" => {
                 line.unit()?;
@@ -418,11 +418,11 @@
                 let (spent, settled, id) =
                     (line.span("spent_s")?, line.flag("settled")?, line.task()?);
                 held.into_iter()
-                    .for_each(|held| relay.load_told(&id, dispatch, held));
+                    .for_each(|held| relay.load_reported(&id, dispatch, held));
                 relay.dispatch_ended(&id, dispatch, outcome, spent, settled, act);
             }
-            "CLIENT_LEFT" => relay.client_left(&line.task()?, act),
-            "FIRED" => relay.woken(Token(line.num("ref")?), act),
+            "CLIENT_LEFT" => relay.client_disconnected(&line.task()?, act),
+            "FIRED" => relay.timer_fired(TimerId(line.num("ref")?), act),
             // The module asks for no probes and needs no tallies yet; they are only checked.
             "ECHO" => {
                 line.unit()?;
@@ -430,7 +430,9 @@
                 line.span("spent_s")?;
                 line.held()?;
             }
-            "NOTE_FROM" => relay.note_from(PeerId(line.num("sender")?), &line.payload()?),
+            "NOTE_FROM" => {
+                relay.peer_message_received(PeerId(line.num("sender")?), &line.payload()?)
+            }
             "PROMOTION" => {
                 let phase = match line.opt::<u8>("where_at")? {
                     Some(0) | None => Phase::OnTrial,
@@ -442,7 +444,7 @@
                 let outcome = line.outcome()?; // unless it is ok, the other fields are void
                 let answer = line.num::<u8>("code")? == 1;
                 if outcome == Outcome::Ok {
-                    relay.build_news(
+                    relay.rollout_updated(
                         BuildId(line.num("ver")?),
                         Stage(line.num("wave")?),
                         phase,
@@ -463,7 +465,7 @@
             "COMPLAINT" => {
                 line.span("since_s")?;
                 let track = TrackId(line.position("band", &names.tracks)?);
-                relay.complaint(&line.unit()?, track);
+                relay.complaint_received(&line.unit()?, track);
             }
             _ => return Err("unknown message".to_owned()),
         }
--- a/crates/beechcroft-core/src/module.rs
+++ b/crates/beechcroft-core/src/actor.rs
@@ -1,11 +1,13 @@
 //! The module's actor, the only owner of [`Relay`]: events come in by one mailbox in the order of their arrival,
 //! actions go out to the carrier. It decides nothing.
 
-use crate::call::Answer;
-use crate::list::List;
-use crate::tasks::Tasks;
+use crate::list::UnitList;
+use crate::request::TaskAnswer;
+use crate::tasks::OpenTasks;
 use crate::timers::Timers;
-use crate::{Ballot, Carrier, Dispatch, Ended, Event, Mailbox, News, ToUnit};
+use crate::{
+    Ballot, Dispatch, DispatchResult, Event, Mailbox, Outbound, RolloutState, UnitCommand,
+};
 use beechcroft::decide::Relay;
 use beechcroft::*;
 use std::collections::HashMap;
@@ -38,44 +40,44 @@
 }
 
 /// What the module acts through.
-struct Hands<C: Carrier> {
-    carrier: C,
+struct Hands<C: Outbound> {
+    outbound: C,
     /// Its own, which it must not keep open.
     mailbox: mpsc::WeakUnboundedSender<Event>,
     known: HashMap<UnitId, C::Unit>,
-    tasks: Tasks<C::Unit>,
+    tasks: OpenTasks<C::Unit>,
     timers: Timers,
     /// The time of the event at hand.
     now: Instant,
 }
 
-impl<C: Carrier> Actions for Hands<C> {
+impl<C: Outbound> Actions for Hands<C> {
     fn dispatch(&mut self, task: &TaskId, unit: &UnitId, time_out: Duration) {
         let (task, known) = (task.clone(), self.known.get(unit));
-        let Some((no, call)) = self.tasks.sent(&task, known) else {
+        let Some((number, request)) = self.tasks.record_dispatch(&task, known) else {
             return;
         };
         match known {
             Some(unit) => {
                 let dispatch = Dispatch {
                     task,
-                    no,
-                    call,
-                    at: self.now,
+                    number,
+                    request,
+                    sent_at: self.now,
                     time_out,
                 };
-                self.carrier.send(unit, ToUnit::Dispatch(dispatch));
+                self.outbound.send(unit, UnitCommand::Dispatch(dispatch));
             }
             None => {
                 warn!(task = %task.0, unit = %unit.0, "dispatch of {} to {}, which is not listed", task.0, unit.0);
-                let (outcome, spent) = (Outcome::Moot, Duration::ZERO);
-                let ended = Event::Ended(Ended {
+                let (outcome, elapsed) = (Outcome::Moot, Duration::ZERO);
+                let ended = Event::DispatchEnded(DispatchResult {
                     task,
-                    no,
+                    number,
                     outcome,
-                    reply: None,
-                    spent,
-                    held: None,
+                    response: None,
+                    elapsed,
+                    reported_load: None,
                 });
                 if let Some(mailbox) = self.mailbox.upgrade() {
                     let _ = mailbox.send(ended);
@@ -84,59 +86,59 @@
         }
     }
     fn nack(&mut self, task: &TaskId, hold_off: Duration) {
-        self.tasks.answer(task, Answer::Nacked(hold_off));
+        self.tasks.answer(task, TaskAnswer::Nacked(hold_off));
     }
     fn terminate(&mut self, task: &TaskId) {
-        self.tasks.answer(task, Answer::Terminated);
+        self.tasks.answer(task, TaskAnswer::Terminated);
     }
-    fn abandon(&mut self, task: &TaskId, dispatch: DispatchNo) {
-        if let Some(unit) = self.tasks.out(task, dispatch) {
-            self.carrier
-                .send(unit, ToUnit::Abandon(task.clone(), dispatch));
+    fn cancel(&mut self, task: &TaskId, dispatch: DispatchNo) {
+        if let Some(unit) = self.tasks.dispatched_to(task, dispatch) {
+            self.outbound
+                .send(unit, UnitCommand::Cancel(task.clone(), dispatch));
         }
     }
-    fn tell(&mut self, peer: Option<PeerId>, payload: &[u8]) {
-        self.carrier.tell(peer, payload);
+    fn send_to_peers(&mut self, peer: Option<PeerId>, payload: &[u8]) {
+        self.outbound.send_to_peers(peer, payload);
     }
     fn vote(&mut self, build: BuildId, stage: Stage, vote: Vote) {
-        self.carrier.cast(Ballot { build, stage, vote });
+        self.outbound.cast_vote(Ballot { build, stage, vote });
     }
-    fn wake(&mut self, after: Duration, token: Token) {
+    fn set_timer(&mut self, after: Duration, token: TimerId) {
         self.timers.add(self.now + after, token);
     }
-    fn follow_list(&mut self) {
-        self.carrier.follow();
+    fn watch_units(&mut self) {
+        self.outbound.watch_units();
     }
     fn log(&mut self, line: &str) {
         info!("{line}");
     }
 }
 
-pub struct ModuleActor<C: Carrier> {
+pub struct RelayActor<C: Outbound> {
     relay: Relay,
     clock: Clock,
     hands: Hands<C>,
 }
 
-impl<C: Carrier> ModuleActor<C> {
+impl<C: Outbound> RelayActor<C> {
     /// `mailbox` is the one whose events it will run on.
     pub fn start(
         settings: &Settings,
         seed: u64,
         clock: Clock,
-        carrier: C,
+        outbound: C,
         mailbox: Mailbox,
-    ) -> ModuleActor<C> {
+    ) -> RelayActor<C> {
         let mut hands = Hands {
-            carrier,
+            outbound,
             mailbox: mailbox.downgrade(),
             known: HashMap::new(),
-            tasks: Tasks::default(),
+            tasks: OpenTasks::default(),
             timers: Timers::default(),
             now: Instant::now(),
         };
         let relay = Relay::start(settings, seed, clock.at(hands.now), &mut hands);
-        ModuleActor {
+        RelayActor {
             relay,
             clock,
             hands,
@@ -165,26 +167,26 @@
 
     fn tick(&mut self) {
         self.hands.now = Instant::now();
-        self.relay.clock(self.clock.at(self.hands.now));
+        self.relay.set_time(self.clock.at(self.hands.now));
     }
 
     fn wake(&mut self) {
         let now = Instant::now();
         while let Some(token) = self.hands.timers.take_due(now) {
             self.tick();
-            self.relay.woken(token, &mut self.hands);
+            self.relay.timer_fired(token, &mut self.hands);
         }
     }
 
     fn event(&mut self, event: Event) {
         self.tick();
-        let ModuleActor { relay, hands, .. } = self;
+        let RelayActor { relay, hands, .. } = self;
         match event {
             Event::Task(taken) => {
                 let (id, track, hints) = (taken.id.clone(), taken.track, taken.hints);
-                let left = taken.abandon_at.saturating_duration_since(hands.now);
-                match hands.tasks.take(taken) {
-                    Ok(()) => relay.task_taken(
+                let left = taken.deadline.saturating_duration_since(hands.now);
+                match hands.tasks.insert(taken) {
+                    Ok(()) => relay.task_received(
                         id,
                         track,
                         hints.tenant,
@@ -198,57 +200,58 @@
                     }
                 }
             }
-            Event::Left(task) => {
-                if hands.tasks.left(&task) {
-                    relay.client_left(&task, hands);
+            Event::ClientDisconnected(task) => {
+                if hands.tasks.client_disconnected(&task) {
+                    relay.client_disconnected(&task, hands);
                 }
             }
-            Event::Ended(Ended {
+            Event::DispatchEnded(DispatchResult {
                 task,
-                no,
+                number,
                 outcome,
-                reply,
-                spent,
-                held,
+                response,
+                elapsed,
+                reported_load,
             }) => {
-                held.into_iter()
-                    .for_each(|held| relay.load_told(&task, no, held));
-                if let Some(reply) = reply {
-                    hands.tasks.answer(&task, Answer::Handled(reply));
+                reported_load
+                    .into_iter()
+                    .for_each(|load| relay.load_reported(&task, number, load));
+                if let Some(response) = response {
+                    hands.tasks.answer(&task, TaskAnswer::Handled(response));
                 }
-                let settled = hands.tasks.ended(&task, no);
-                relay.dispatch_ended(&task, no, outcome, spent, settled, hands);
+                let settled = hands.tasks.dispatch_ended(&task, number);
+                relay.dispatch_ended(&task, number, outcome, elapsed, settled, hands);
             }
-            Event::List(list) => self.list(list),
-            Event::ListFailed => relay.list_failed(hands),
-            Event::News(news) => self.news(news),
+            Event::UnitList(list) => self.list(list),
+            Event::DiscoveryFailed => relay.discovery_failed(hands),
+            Event::Rollout(news) => self.news(news),
             Event::VoteAnswered(outcome, news) => {
                 news.into_iter().for_each(|news| self.news(news));
                 self.relay.vote_answered(outcome);
             }
-            Event::Complaint(unit, track) => relay.complaint(&unit, track),
-            Event::Note(from, note) => relay.note_from(from, &note),
+            Event::Complaint(unit, track) => relay.complaint_received(&unit, track),
+            Event::PeerMessage(from, note) => relay.peer_message_received(from, &note),
         }
     }
 
     fn news(
         &mut self,
-        News {
+        RolloutState {
             build,
             stage,
             phase,
             cap,
-        }: News,
+        }: RolloutState,
     ) {
         self.relay
-            .build_news(build, stage, phase, cap, &mut self.hands);
+            .rollout_updated(build, stage, phase, cap, &mut self.hands);
     }
 
     /// Tells the module of the list, and each unit's actor of its own entry.
-    fn list(&mut self, list: List) {
-        let fleet = self.relay.list();
-        fleet.begins(list.whole);
-        let mut before = if list.whole {
+    fn list(&mut self, list: UnitList) {
+        let fleet = self.relay.fleet_mut();
+        fleet.begin_update(list.is_snapshot);
+        let mut before = if list.is_snapshot {
             std::mem::take(&mut self.hands.known)
         } else {
             HashMap::new()
@@ -258,34 +261,34 @@
                 .remove(&entry.unit)
                 .or_else(|| self.hands.known.remove(&entry.unit));
             match (known, entry.health) {
-                (Some(unit), Health::Gone) => self.hands.carrier.send(&unit, ToUnit::Gone),
+                (Some(unit), Health::Gone) => self.hands.outbound.send(&unit, UnitCommand::Remove),
                 (None, Health::Gone) => {}
                 (Some(unit), _) => {
                     self.hands
-                        .carrier
-                        .send(&unit, ToUnit::Listed(entry.listing));
+                        .outbound
+                        .send(&unit, UnitCommand::UpdateEndpoint(entry.endpoint));
                     self.hands.known.insert(entry.unit.clone(), unit);
                 }
                 (None, _) => {
-                    let unit = self.hands.carrier.unit(entry.listing);
+                    let unit = self.hands.outbound.add_unit(entry.endpoint);
                     self.hands.known.insert(entry.unit.clone(), unit);
                 }
             }
-            fleet.entry(
+            fleet.update_unit(
                 entry.unit,
                 entry.build,
                 entry.zone,
-                entry.kind,
+                entry.machine_type,
                 entry.cell,
                 entry.health,
-                entry.nominal,
-                entry.listing.started,
+                entry.capacity,
+                entry.endpoint.started,
             );
         }
-        fleet.ends();
+        fleet.finish_update();
         // What a whole list leaves out is gone.
         before
             .into_values()
-            .for_each(|unit| self.hands.carrier.send(&unit, ToUnit::Gone));
+            .for_each(|unit| self.hands.outbound.send(&unit, UnitCommand::Remove));
     }
 }
--- a/crates/beechcroft-core/src/lib.rs
+++ b/crates/beechcroft-core/src/lib.rs
@@ -1,20 +1,20 @@
 //! The module's actor with its open tasks and timers, and what every front and follower tells it. It decides nothing, and
-//! knows no socket: who carries the module's actions out is a [`Carrier`].
+//! knows no socket: who carries the module's actions out is [`Outbound`].
 
-pub mod call;
+pub mod actor;
 pub mod list;
-pub mod module;
+pub mod request;
 pub mod tasks;
 mod timers;
 
 use beechcroft::{
     BuildId, DispatchNo, Outcome, PeerId, Phase, Stage, TaskId, TrackId, UnitId, Vote,
 };
-use call::{Call, Reply};
-use list::{List, Listing};
+use list::{UnitEndpoint, UnitList};
+use request::{TaskRequest, UnitResponse};
 use std::sync::Arc;
 use std::time::Duration;
-use tasks::Taken;
+use tasks::NewTask;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
@@ -22,31 +22,31 @@
 
 /// Everything that the module is told.
 pub enum Event {
-    Task(Taken),
-    Left(TaskId),
-    Ended(Ended),
-    List(List),
-    ListFailed,
-    News(News),
-    VoteAnswered(Outcome, Option<News>),
+    Task(NewTask),
+    ClientDisconnected(TaskId),
+    DispatchEnded(DispatchResult),
+    UnitList(UnitList),
+    DiscoveryFailed,
+    Rollout(RolloutState),
+    VoteAnswered(Outcome, Option<RolloutState>),
     Complaint(UnitId, TrackId),
-    Note(PeerId, Vec<u8>),
+    PeerMessage(PeerId, Vec<u8>),
 }
 
 /// How a dispatch ended.
-pub struct Ended {
+pub struct DispatchResult {
     pub task: TaskId,
-    pub no: DispatchNo,
+    pub number: DispatchNo,
     pub outcome: Outcome,
-    pub reply: Option<Reply>,
-    pub spent: Duration,
+    pub response: Option<UnitResponse>,
+    pub elapsed: Duration,
     /// How many tasks the unit told that it holds.
-    pub held: Option<f64>,
+    pub reported_load: Option<f64>,
 }
 
 /// Where the newest build stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct News {
+pub struct RolloutState {
     pub build: BuildId,
     pub stage: Stage,
     pub phase: Phase,
@@ -62,34 +62,34 @@
 }
 
 /// What a unit's carrier is told.
-pub enum ToUnit {
-    Listed(Listing),
+pub enum UnitCommand {
+    UpdateEndpoint(UnitEndpoint),
     /// No longer on the list.
-    Gone,
+    Remove,
     Dispatch(Dispatch),
-    Abandon(TaskId, DispatchNo),
+    Cancel(TaskId, DispatchNo),
 }
 
 pub struct Dispatch {
     pub task: TaskId,
-    pub no: DispatchNo,
-    pub call: Arc<Call>,
-    pub at: Instant,
+    pub number: DispatchNo,
+    pub request: Arc<TaskRequest>,
+    pub sent_at: Instant,
     pub time_out: Duration,
 }
 
 /// What carries the module's actions out, over whatever wires there are. Nothing here waits.
-pub trait Carrier: Send + 'static {
+pub trait Outbound: Send + 'static {
     /// What a dispatch to a unit is handed to.
     type Unit: Clone + Send;
 
     /// Takes up a unit that was listed.
-    fn unit(&mut self, listing: Listing) -> Self::Unit;
-    fn send(&mut self, unit: &Self::Unit, what: ToUnit);
+    fn add_unit(&mut self, listing: UnitEndpoint) -> Self::Unit;
+    fn send(&mut self, unit: &Self::Unit, what: UnitCommand);
     /// To one relay of the tier, or to all.
-    fn tell(&mut self, peer: Option<PeerId>, note: &[u8]);
+    fn send_to_peers(&mut self, peer: Option<PeerId>, note: &[u8]);
     /// To the platform, if there is one.
-    fn cast(&mut self, ballot: Ballot);
+    fn cast_vote(&mut self, ballot: Ballot);
     /// Follows the list, where that is not being done.
-    fn follow(&mut self);
+    fn watch_units(&mut self);
 }
--- a/crates/beechcroft-core/src/list.rs
+++ b/crates/beechcroft-core/src/list.rs
@@ -1,33 +1,33 @@
 //! The list of units, as whoever follows it hands it over.
 
-use beechcroft::{BuildId, CellId, Health, KindId, UnitId, ZoneId};
+use beechcroft::{BuildId, CellId, Health, MachineTypeId, UnitId, ZoneId};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// The whole list, or what changed.
 #[derive(Debug)]
-pub struct List {
+pub struct UnitList {
     pub index: u64,
-    pub whole: bool,
-    pub entries: Vec<Entry>,
+    pub is_snapshot: bool,
+    pub entries: Vec<UnitEntry>,
 }
 
 #[derive(Debug)]
-pub struct Entry {
+pub struct UnitEntry {
     pub unit: UnitId,
-    pub listing: Listing,
+    pub endpoint: UnitEndpoint,
     pub build: BuildId,
     pub zone: Option<ZoneId>,
-    pub kind: KindId,
+    pub machine_type: MachineTypeId,
     pub cell: CellId,
     pub health: Health,
-    pub nominal: f64,
+    pub capacity: f64,
 }
 
 /// What the list says of a unit, as far as its connections go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Listing {
+pub struct UnitEndpoint {
     pub address: SocketAddr,
     pub started: Option<Duration>,
-    pub leaving: bool,
+    pub draining: bool,
 }
--- a/crates/beechcroft-core/src/call.rs
+++ b/crates/beechcroft-core/src/request.rs
@@ -6,7 +6,7 @@
 
 /// What a client asked for, as it goes on to a unit.
 #[derive(Debug)]
-pub struct Call {
+pub struct TaskRequest {
     pub method: Method,
     pub target: Uri,
     pub txn: HeaderValue,
@@ -17,15 +17,15 @@
 
 /// A unit's whole answer with 200.
 #[derive(Debug)]
-pub struct Reply {
+pub struct UnitResponse {
     pub body: Bytes,
     pub content_type: Option<HeaderValue>,
 }
 
 /// The one final answer of a task.
 #[derive(Debug)]
-pub enum Answer {
-    Handled(Reply),
+pub enum TaskAnswer {
+    Handled(UnitResponse),
     Nacked(Duration),
     Terminated,
 }
--- a/crates/beechcroft-core/src/tasks.rs
+++ b/crates/beechcroft-core/src/tasks.rs
@@ -1,6 +1,6 @@
 //! Open tasks: who waits for the answer, and what is out. A task is kept until it is answered and nothing is out.
 
-use crate::call::{Answer, Call};
+use crate::request::{TaskAnswer, TaskRequest};
 use beechcroft::{DispatchNo, TaskId, TrackId};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,13 +8,13 @@
 use tokio::time::Instant;
 
 /// A task as the clients' side hands it over.
-pub struct Taken {
+pub struct NewTask {
     pub id: TaskId,
     pub track: TrackId,
     pub hints: Hints,
-    pub abandon_at: Instant,
-    pub call: Arc<Call>,
-    pub answer: oneshot::Sender<Answer>,
+    pub deadline: Instant,
+    pub request: Arc<TaskRequest>,
+    pub answer: oneshot::Sender<TaskAnswer>,
 }
 
 /// Further figures that a task may carry.
@@ -26,29 +26,29 @@
 }
 
 struct Open<U> {
-    call: Arc<Call>,
-    answer: Option<oneshot::Sender<Answer>>,
+    request: Arc<TaskRequest>,
+    answer: Option<oneshot::Sender<TaskAnswer>>,
     tries: u32,
     out: Option<(DispatchNo, Option<U>)>,
 }
 
 /// Units are held as `U`, what a dispatch is handed to.
-pub struct Tasks<U>(HashMap<TaskId, Open<U>>);
+pub struct OpenTasks<U>(HashMap<TaskId, Open<U>>);
 
-impl<U> Default for Tasks<U> {
-    fn default() -> Tasks<U> {
-        Tasks(HashMap::new())
+impl<U> Default for OpenTasks<U> {
+    fn default() -> OpenTasks<U> {
+        OpenTasks(HashMap::new())
     }
 }
 
-impl<U: Clone> Tasks<U> {
+impl<U: Clone> OpenTasks<U> {
     /// Takes a task; an id that is still open hands the task back.
-    pub fn take(&mut self, taken: Taken) -> Result<(), Taken> {
+    pub fn insert(&mut self, taken: NewTask) -> Result<(), NewTask> {
         if self.0.contains_key(&taken.id) {
             return Err(taken);
         }
         let open = Open {
-            call: taken.call,
+            request: taken.request,
             answer: Some(taken.answer),
             tries: 0,
             out: None,
@@ -58,16 +58,20 @@
     }
 
     /// Counts a dispatch of a task that is not yet answered; gives its number and what to send.
-    pub fn sent(&mut self, id: &TaskId, to: Option<&U>) -> Option<(DispatchNo, Arc<Call>)> {
+    pub fn record_dispatch(
+        &mut self,
+        id: &TaskId,
+        to: Option<&U>,
+    ) -> Option<(DispatchNo, Arc<TaskRequest>)> {
         let open = self.0.get_mut(id).filter(|open| open.answer.is_some())?;
         let no = DispatchNo(open.tries);
         open.tries += 1;
         open.out = Some((no, to.cloned()));
-        Some((no, open.call.clone()))
+        Some((no, open.request.clone()))
     }
 
     /// Gives the final answer; a second one finds nobody.
-    pub fn answer(&mut self, id: &TaskId, answer: Answer) {
+    pub fn answer(&mut self, id: &TaskId, answer: TaskAnswer) {
         if let Some(waiting) = self.0.get_mut(id).and_then(|open| open.answer.take()) {
             let _ = waiting.send(answer); // a client that left this moment is told of by itself
         }
@@ -76,7 +80,7 @@
 
     /// A client that waited for this id left; whether it was the task's own, and not one that asked for an open
     /// id. No answer is owed any more.
-    pub fn left(&mut self, id: &TaskId) -> bool {
+    pub fn client_disconnected(&mut self, id: &TaskId) -> bool {
         let Some(open) = self.0.get_mut(id) else {
             return false;
         };
@@ -86,7 +90,7 @@
     }
 
     /// A dispatch ended; whether the task is settled.
-    pub fn ended(&mut self, id: &TaskId, no: DispatchNo) -> bool {
+    pub fn dispatch_ended(&mut self, id: &TaskId, no: DispatchNo) -> bool {
         let Some(open) = self.0.get_mut(id) else {
             return true;
         };
@@ -97,7 +101,7 @@
     }
 
     /// Where a dispatch is out.
-    pub fn out(&self, id: &TaskId, no: DispatchNo) -> Option<&U> {
+    pub fn dispatched_to(&self, id: &TaskId, no: DispatchNo) -> Option<&U> {
         let out = self.0.get(id)?.out.as_ref();
         out.filter(|(out, _)| *out == no)
             .and_then(|(_, unit)| unit.as_ref())
--- a/crates/beechcroft-outlier/src/verdict.rs
+++ b/crates/beechcroft-outlier/src/verdict.rs
@@ -1,7 +1,7 @@
 //! The verdict on one endpoint, from the counts of all regions.
 
 use crate::OutcomeCounts;
-use beechcroft::cusum::{Cusum, NATS_FLOOR};
+use beechcroft::cusum::{Cusum, MIN_THRESHOLD_NATS};
 use beechcroft_config::config::OutlierRules;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -174,11 +174,11 @@
     for (sums, cusum) in regions.values().zip(cusums) {
         cusum.z = f64::from(sums[at].bad) * ratios.bad + f64::from(sums[at].good) * ratios.good;
         cusum.tick();
-        cusum.w = cusum.w.min(CUSUM_CAP * NATS_FLOOR);
+        cusum.w = cusum.w.min(CUSUM_CAP * MIN_THRESHOLD_NATS);
         let recent = RegionCounts::recent(sums, at, STALE_PERIODS as usize);
         let latest = RegionCounts::recent(sums, at, LOST_PERIODS);
         total_weight += f64::from(recent.reached);
-        if cusum.w > NATS_FLOOR && recent.reached >= MIN_OUTCOMES {
+        if cusum.w > MIN_THRESHOLD_NATS && recent.reached >= MIN_OUTCOMES {
             alarms += 1;
             alarmed_weight += f64::from(recent.reached);
         }
--- a/crates/beechcroft-relay/src/life/carrier.rs
+++ b/crates/beechcroft-relay/src/life/carrier.rs
@@ -5,8 +5,8 @@
 use crate::wire::platform::{PlatformMailbox, ToPlatform};
 use crate::wire::units::{Shared, UnitMailbox};
 use beechcroft::PeerId;
-use beechcroft_core::list::Listing;
-use beechcroft_core::{Ballot, Carrier, ToUnit};
+use beechcroft_core::list::UnitEndpoint;
+use beechcroft_core::{Ballot, Outbound, UnitCommand};
 
 pub struct Wires {
     pub units: Shared,
@@ -15,24 +15,24 @@
     pub peers: Peers,
 }
 
-impl Carrier for Wires {
+impl Outbound for Wires {
     type Unit = UnitMailbox;
 
-    fn unit(&mut self, listing: Listing) -> UnitMailbox {
+    fn add_unit(&mut self, listing: UnitEndpoint) -> UnitMailbox {
         self.units.spawn(listing)
     }
-    fn send(&mut self, unit: &UnitMailbox, what: ToUnit) {
+    fn send(&mut self, unit: &UnitMailbox, what: UnitCommand) {
         let _ = unit.send(what);
     }
-    fn tell(&mut self, peer: Option<PeerId>, note: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<PeerId>, note: &[u8]) {
         self.peers.tell(peer, note);
     }
-    fn cast(&mut self, ballot: Ballot) {
+    fn cast_vote(&mut self, ballot: Ballot) {
         if let Some(platform) = &self.platform {
             let _ = platform.send(ToPlatform::Cast(ballot));
         }
     }
-    fn follow(&mut self) {
+    fn watch_units(&mut self) {
         let _ = self.list.send(ToList::Follow);
     }
 }
--- a/crates/beechcroft-relay/src/life/config.rs
+++ b/crates/beechcroft-relay/src/life/config.rs
@@ -4,8 +4,8 @@
 use crate::wire::discovery::Places;
 use crate::wire::peers::Addresses;
 use crate::wire::platform;
-use beechcroft_core::list::List;
-use beechcroft_core::News;
+use beechcroft_core::list::UnitList;
+use beechcroft_core::RolloutState;
 use beechcroft_settings::Named;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -23,8 +23,8 @@
     pub sockets: usize,
     pub peers: Option<Addresses>,
     pub rollouts: Option<SocketAddr>,
-    pub news: Option<News>,
-    pub known: Option<List>,
+    pub news: Option<RolloutState>,
+    pub known: Option<UnitList>,
     pub names: Named,
 }
 
@@ -164,8 +164,8 @@
 /// Where relays are spoken to, if they may be.
 fn peers(all: &Value, names: &Named) -> Result<Option<Addresses>, String> {
     let settings = &names.settings;
-    let listen =
-        address_at(all, "/peer_listen")?.filter(|_| settings.may_tell_peers && settings.relays > 1);
+    let listen = address_at(all, "/peer_listen")?
+        .filter(|_| settings.may_message_peers && settings.relays > 1);
     let Some(listen) = listen else {
         return Ok(None);
     };
--- a/crates/beechcroft-relay/src/life/run.rs
+++ b/crates/beechcroft-relay/src/life/run.rs
@@ -12,7 +12,7 @@
 use crate::wire::peers::Peers;
 use crate::wire::platform::{self, PlatformMailbox, ToPlatform};
 use crate::wire::units::Shared;
-use beechcroft_core::module::{Clock, ModuleActor};
+use beechcroft_core::actor::{Clock, RelayActor};
 use beechcroft_core::Event;
 use beechcroft_operator::Operator;
 use std::time::Duration;
@@ -88,19 +88,19 @@
     let discovery = Discovery::new(discovery, Places::new(&names));
     let list = ListActor::new(discovery, known, module.clone());
     news.into_iter()
-        .for_each(|news| drop(module.send(Event::News(news))));
+        .for_each(|news| drop(module.send(Event::Rollout(news))));
 
     let peers = match peers {
         Some(addresses) => {
             let at = addresses.listen;
-            let peers = Peers::start(addresses, names.settings.me, module.clone()).await;
+            let peers = Peers::start(addresses, names.settings.own_id, module.clone()).await;
             peers.map_err(|error| format!("peer_listen: {at}: {error}"))?
         }
         None => Peers::default(),
     };
     let (listed, first_list) = oneshot::channel();
     let (reached, first_news) = oneshot::channel();
-    let (tracks, wait) = (names.tracks.clone(), names.settings.answer_wait);
+    let (tracks, wait) = (names.tracks.clone(), names.settings.vote_timeout);
     let platform = rollouts.map(|at| platform::spawn(at, wait, tracks, module.clone(), reached));
     let followers = Followers {
         list: follow.clone(),
@@ -113,7 +113,7 @@
         platform,
         peers,
     };
-    let actor = ModuleActor::start(&names.settings, seed, Clock::start(), wires, module.clone());
+    let actor = RelayActor::start(&names.settings, seed, Clock::start(), wires, module.clone());
     let mut module_ends = tokio::spawn(actor.run(events));
     tokio::spawn(list.run(followed, listed));
 
--- a/crates/beechcroft-relay/src/memory/list.rs
+++ b/crates/beechcroft-relay/src/memory/list.rs
@@ -3,7 +3,7 @@
 use crate::wire::budget::{WATCH_FLOOR, WATCH_PAUSE};
 use crate::wire::discovery::Discovery;
 use crate::wire::sparse::Sparse;
-use beechcroft_core::list::List;
+use beechcroft_core::list::UnitList;
 use beechcroft_core::{Event, Mailbox};
 use std::net::SocketAddr;
 use tokio::sync::{mpsc, oneshot};
@@ -38,11 +38,11 @@
 
 impl ListActor {
     /// Begins with the list as this relay last held it, if any.
-    pub fn new(discovery: Discovery, known: Option<List>, module: Mailbox) -> ListActor {
+    pub fn new(discovery: Discovery, known: Option<UnitList>, module: Mailbox) -> ListActor {
         let index = known.as_ref().map(|known| known.index);
         known
             .into_iter()
-            .for_each(|known| drop(module.send(Event::List(known))));
+            .for_each(|known| drop(module.send(Event::UnitList(known))));
         ListActor {
             discovery,
             module,
@@ -70,7 +70,7 @@
                 Watched::Told => sleep(WATCH_FLOOR.saturating_sub(began.elapsed())).await,
                 Watched::Moved => {}
                 Watched::Failed => {
-                    if self.module.send(Event::ListFailed).is_err() {
+                    if self.module.send(Event::DiscoveryFailed).is_err() {
                         return;
                     }
                     sleep(WATCH_PAUSE.saturating_sub(began.elapsed())).await;
@@ -107,8 +107,8 @@
             }
             Ok(Ok(list)) => {
                 self.index = Some(list.index);
-                if list.whole || !list.entries.is_empty() {
-                    let _ = self.module.send(Event::List(list));
+                if list.is_snapshot || !list.entries.is_empty() {
+                    let _ = self.module.send(Event::UnitList(list));
                 }
                 Watched::Told
             }
--- a/crates/beechcroft-relay/src/wire/budget.rs
+++ b/crates/beechcroft-relay/src/wire/budget.rs
@@ -142,7 +142,7 @@
     let least = settings
         .tracks
         .iter()
-        .map(|track| track.quoted)
+        .map(|track| track.quoted_time)
         .min()
         .unwrap_or_default();
     let without = Limits {
@@ -158,8 +158,8 @@
         wakes_at_once: budget.clients,
         wake_hold: WAKE_HOLD,
         wake_wait: least.mul_f64(WAKE_PART),
-        hold_off_most: if settings.may_name_hold_off {
-            settings.max_hold_off
+        hold_off_most: if settings.may_set_retry_after {
+            settings.max_retry_after
         } else {
             Duration::ZERO
         },
--- a/crates/beechcroft-relay/src/wire/clients.rs
+++ b/crates/beechcroft-relay/src/wire/clients.rs
@@ -10,8 +10,8 @@
 use axum::routing::get;
 use axum::Router;
 use beechcroft::{Effect, Key, TaskId, TenantId, TrackId};
-use beechcroft_core::call::{Answer, Call};
-use beechcroft_core::tasks::{Hints, Taken};
+use beechcroft_core::request::{TaskAnswer, TaskRequest};
+use beechcroft_core::tasks::{Hints, NewTask};
 use beechcroft_core::{Event, Mailbox};
 use beechcroft_settings::Named;
 use http::request::Parts;
@@ -197,7 +197,7 @@
     fn drop(&mut self) {
         let left = self.id.take();
         left.into_iter()
-            .for_each(|id| drop(self.module.send(Event::Left(id))));
+            .for_each(|id| drop(self.module.send(Event::ClientDisconnected(id))));
     }
 }
 
@@ -215,14 +215,14 @@
     response
 }
 
-fn encode(answer: Answer) -> Response {
+fn encode(answer: TaskAnswer) -> Response {
     match answer {
-        Answer::Handled(reply) => with(
+        TaskAnswer::Handled(reply) => with(
             Response::new(Body::from(reply.body)),
             header::CONTENT_TYPE,
             reply.content_type,
         ),
-        Answer::Nacked(hold_off) => {
+        TaskAnswer::Nacked(hold_off) => {
             let after = HeaderValue::try_from(format!("{:.3}", hold_off.as_secs_f64())).ok();
             let after = after.filter(|_| !hold_off.is_zero());
             with(
@@ -231,7 +231,7 @@
                 after,
             )
         }
-        Answer::Terminated => plain(StatusCode::BAD_GATEWAY, "terminated\n"),
+        TaskAnswer::Terminated => plain(StatusCode::BAD_GATEWAY, "terminated\n"),
     }
 }
 
@@ -264,7 +264,7 @@
             return Fault::new(StatusCode::REQUEST_TIMEOUT, "body: did not arrive in time").encode()
         }
     };
-    let call = Arc::new(Call {
+    let call = Arc::new(TaskRequest {
         method: head.method,
         target: head.uri,
         txn: asked.txn,
@@ -274,12 +274,12 @@
     });
     let (answer, answered) = oneshot::channel();
     let (id, track, hints) = (asked.id.clone(), asked.track, asked.hints);
-    let taken = Taken {
+    let taken = NewTask {
         id,
         track,
         hints,
-        abandon_at,
-        call,
+        deadline: abandon_at,
+        request: call,
         answer,
     };
     if front.module.send(Event::Task(taken)).is_err() {
--- a/crates/beechcroft-relay/src/wire/discovery.rs
+++ b/crates/beechcroft-relay/src/wire/discovery.rs
@@ -4,8 +4,8 @@
 use crate::wire::keep::Keep;
 use crate::wire::link::{collect, Connector, HttpClient, Room};
 use crate::wire::sparse::whole;
-use beechcroft::{BuildId, CellId, Health, KindId, UnitId, ZoneId};
-use beechcroft_core::list::{Entry, List, Listing};
+use beechcroft::{BuildId, CellId, Health, MachineTypeId, UnitId, ZoneId};
+use beechcroft_core::list::{UnitEndpoint, UnitEntry, UnitList};
 use beechcroft_settings::Named;
 use bytes::Bytes;
 use http::{Request, StatusCode};
@@ -58,17 +58,17 @@
         }
     }
 
-    pub fn decode(&self, text: &[u8]) -> Result<List, String> {
+    pub fn decode(&self, text: &[u8]) -> Result<UnitList, String> {
         let form: ListForm = serde_json::from_slice(text).map_err(|error| error.to_string())?;
         let entries = form.endpoints.into_iter().map(|entry| self.entry(entry));
-        Ok(List {
+        Ok(UnitList {
             index: form.index,
-            whole: form.snapshot,
+            is_snapshot: form.snapshot,
             entries: entries.collect::<Result<_, _>>()?,
         })
     }
 
-    fn entry(&self, form: EntryForm) -> Result<Entry, String> {
+    fn entry(&self, form: EntryForm) -> Result<UnitEntry, String> {
         let among = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let health = match form.status.as_str() {
             "active" => Health::Ready,
@@ -80,20 +80,20 @@
             return Err(format!("entry '{}': name or weight is void", form.name));
         }
         let started = (form.since_ms > 0).then(|| Duration::from_millis(form.since_ms));
-        let listing = Listing {
+        let listing = UnitEndpoint {
             address: form.address,
             started,
-            leaving: health != Health::Ready,
+            draining: health != Health::Ready,
         };
-        Ok(Entry {
+        Ok(UnitEntry {
             unit: UnitId(form.name),
-            listing,
+            endpoint: listing,
             build: BuildId(form.revision_no),
             zone: among(&self.zones, &form.zone).map(ZoneId),
-            kind: KindId(among(&self.kinds, &form.kind).unwrap_or(0)),
+            machine_type: MachineTypeId(among(&self.kinds, &form.kind).unwrap_or(0)),
             cell: CellId(form.group),
             health,
-            nominal: form.weight,
+            capacity: form.weight,
         })
     }
 }
@@ -137,7 +137,7 @@
     }
 
     /// What is newer than a version, as soon as there is anything; the whole list where none is held.
-    pub async fn ask(&self, after: Option<u64>) -> Result<List, String> {
+    pub async fn ask(&self, after: Option<u64>) -> Result<UnitList, String> {
         let wait = if after.is_some() {
             WATCH_WAIT
         } else {
--- a/crates/beechcroft-relay/src/wire/peers.rs
+++ b/crates/beechcroft-relay/src/wire/peers.rs
@@ -97,7 +97,7 @@
             Ok((length, from)) => match numbers.get(&from) {
                 Some(&from) if from == me => {}
                 Some(&from) if length <= NOTE_MAX => {
-                    let _ = module.send(Event::Note(from, note[..length].to_vec()));
+                    let _ = module.send(Event::PeerMessage(from, note[..length].to_vec()));
                 }
                 Some(_) => odd.warn(format!("{from}: too long, ignored")),
                 None => odd.warn(format!("{from} is no relay, ignored")),
--- a/crates/beechcroft-relay/src/wire/platform.rs
+++ b/crates/beechcroft-relay/src/wire/platform.rs
@@ -4,7 +4,7 @@
 use crate::wire::budget::{CONTROL_CONNECT, LINE_MAX, PING_LAPSE, PLATFORM_PAUSE};
 use crate::wire::sparse::Sparse;
 use beechcroft::{BuildId, Outcome, Phase, Stage, TrackId, UnitId, Vote};
-use beechcroft_core::{Ballot, Event, Mailbox, News};
+use beechcroft_core::{Ballot, Event, Mailbox, RolloutState};
 use serde::Deserialize;
 use serde_json::{json, Value};
 use smol_str::SmolStr;
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub enum Told {
     Ping,
-    News(News),
+    News(RolloutState),
     Dispute {
         unit: UnitId,
         kind: SmolStr,
@@ -37,7 +37,7 @@
     Answer {
         id: u64,
         outcome: Outcome,
-        news: Option<News>,
+        news: Option<RolloutState>,
     },
     Listens,
 }
@@ -72,7 +72,7 @@
 }
 
 /// The state of the newest build, as news and answers hold it and as the configuration does.
-pub fn decode_news(value: Value) -> Result<News, String> {
+pub fn decode_news(value: Value) -> Result<RolloutState, String> {
     let form: NewsForm = serde_json::from_value(value).map_err(|error| error.to_string())?;
     let phase = match form.status.as_str() {
         "canary" => Phase::OnTrial,
@@ -84,7 +84,7 @@
     if !(0.0..=1.0).contains(&form.max_weight) {
         return Err(format!("maxWeight: {} is out of range", form.max_weight));
     }
-    Ok(News {
+    Ok(RolloutState {
         build: BuildId(form.version),
         stage: Stage(form.step.into()),
         phase,
@@ -182,7 +182,7 @@
 
 struct PlatformActor {
     address: SocketAddr,
-    answer_wait: Duration,
+    vote_timeout: Duration,
     tracks: Vec<String>,
     module: Mailbox,
     odd: Sparse,
@@ -199,7 +199,7 @@
 /// Starts the actor; `first` is told once the platform was reached, or could not be, for the first time.
 pub fn spawn(
     address: SocketAddr,
-    answer_wait: Duration,
+    vote_timeout: Duration,
     tracks: Vec<String>,
     module: Mailbox,
     first: oneshot::Sender<()>,
@@ -208,7 +208,7 @@
     let (reports, reported) = mpsc::unbounded_channel();
     let actor = PlatformActor {
         address,
-        answer_wait,
+        vote_timeout,
         tracks,
         module,
         odd: Sparse::new("platform"),
@@ -365,7 +365,7 @@
                 None => return,
             },
             Told::Ping | Told::Listens => return,
-            Told::News(news) => Event::News(news),
+            Told::News(news) => Event::Rollout(news),
             Told::Dispute { unit, kind } => {
                 match self.tracks.iter().position(|track| *track == kind) {
                     Some(track) => Event::Complaint(unit, TrackId(track)),
@@ -378,7 +378,7 @@
             }
             Told::Answer { id, outcome, news } => match (self.waiting.remove(&id), news) {
                 (Some(_), news) => Event::VoteAnswered(outcome, news),
-                (None, Some(news)) => Event::News(news), // given up before
+                (None, Some(news)) => Event::Rollout(news), // given up before
                 (None, None) => return,
             },
         };
@@ -413,7 +413,7 @@
             .max_by_key(|line| line.heard_at);
         match line.filter(|line| line.to_write.send(text).is_ok()) {
             Some(line) => {
-                let until = Instant::now() + self.answer_wait;
+                let until = Instant::now() + self.vote_timeout;
                 self.waiting.insert(
                     id,
                     Waiting {
--- a/crates/beechcroft-relay/src/wire/units.rs
+++ b/crates/beechcroft-relay/src/wire/units.rs
@@ -6,9 +6,9 @@
 use crate::wire::link::{collect, Connector, HttpClient, NoRoom, NotQuiet, Room};
 use crate::wire::sparse::{whole, Sparse};
 use beechcroft::{Outcome, TaskId};
-use beechcroft_core::call::{Call, Reply};
-use beechcroft_core::list::Listing;
-use beechcroft_core::{Dispatch, Ended, Event, Mailbox, ToUnit};
+use beechcroft_core::list::UnitEndpoint;
+use beechcroft_core::request::{TaskRequest, UnitResponse};
+use beechcroft_core::{Dispatch, DispatchResult, Event, Mailbox, UnitCommand};
 use beechcroft_fleet::held;
 use beechcroft_fleet::subset::KEPT_PART;
 use beechcroft_settings::Transport;
@@ -38,7 +38,7 @@
     held: Option<f64>,
 }
 
-pub type UnitMailbox = mpsc::UnboundedSender<ToUnit>;
+pub type UnitMailbox = mpsc::UnboundedSender<UnitCommand>;
 
 /// What all units' actors share.
 #[derive(Clone)]
@@ -59,7 +59,7 @@
         }
     }
 
-    pub fn spawn(&self, listing: Listing) -> UnitMailbox {
+    pub fn spawn(&self, listing: UnitEndpoint) -> UnitMailbox {
         let (sender, mailbox) = mpsc::unbounded_channel();
         let kept = self.keep.worth();
         let client = self.client(listing, kept);
@@ -74,7 +74,7 @@
         sender
     }
 
-    fn client(&self, listing: Listing, kept: Duration) -> HttpClient {
+    fn client(&self, listing: UnitEndpoint, kept: Duration) -> HttpClient {
         let Shared {
             room,
             dial_time_out,
@@ -101,7 +101,7 @@
 
 struct UnitActor {
     shared: Shared,
-    listing: Listing,
+    listing: UnitEndpoint,
     client: HttpClient,
     /// For how long it keeps idle connections.
     kept: Duration,
@@ -110,7 +110,7 @@
 
 impl UnitActor {
     /// Until nobody holds the mailbox and no call is open.
-    async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<ToUnit>) {
+    async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<UnitCommand>) {
         let odd = Sparse::new("unit's answer");
         let mut calls = FuturesUnordered::new();
         let mut shortage = self.shared.room.shortage();
@@ -119,22 +119,22 @@
             tokio::select! {
                 biased;
                 message = mailbox.recv(), if open => match message {
-                    Some(ToUnit::Listed(listing)) => self.listed(listing),
-                    Some(ToUnit::Gone) => self.listed(Listing { leaving: true, ..self.listing }),
-                    Some(ToUnit::Abandon(task, no)) => {
+                    Some(UnitCommand::UpdateEndpoint(listing)) => self.listed(listing),
+                    Some(UnitCommand::Remove) => self.listed(UnitEndpoint { draining: true, ..self.listing }),
+                    Some(UnitCommand::Cancel(task, no)) => {
                         if let Some(order) = self.orders.get(&(task, no.0)) {
                             order.send_replace(Order::Abandon);
                         }
                     }
-                    Some(ToUnit::Dispatch(dispatch)) => calls.push(self.call(dispatch)),
+                    Some(UnitCommand::Dispatch(dispatch)) => calls.push(self.call(dispatch)),
                     None => open = false,
                 },
                 // A pool that is dropped closes its idle connections; the calls under way keep theirs.
                 Ok(()) = shortage.changed() => self.renew(),
                 Some((ended, oddity)) = calls.next() => {
-                    self.orders.remove(&(ended.task.clone(), ended.no.0));
+                    self.orders.remove(&(ended.task.clone(), ended.number.0));
                     oddity.into_iter().for_each(|oddity| odd.warn(format!("{} {oddity}", self.listing.address)));
-                    let _ = self.shared.module.send(Event::Ended(ended));
+                    let _ = self.shared.module.send(Event::DispatchEnded(ended));
                 }
             }
         }
@@ -147,12 +147,12 @@
     }
 
     /// A new address or start is a new machine: its connections are new ones.
-    fn listed(&mut self, listing: Listing) {
+    fn listed(&mut self, listing: UnitEndpoint) {
         let before = std::mem::replace(&mut self.listing, listing);
         if (listing.address, listing.started) != (before.address, before.started) {
             self.renew();
         }
-        if listing.leaving {
+        if listing.draining {
             for order in self.orders.values() {
                 order.send_replace(Order::Leave);
             }
@@ -162,25 +162,25 @@
     fn call(
         &mut self,
         dispatch: Dispatch,
-    ) -> impl std::future::Future<Output = (Ended, Option<String>)> + use<> {
+    ) -> impl std::future::Future<Output = (DispatchResult, Option<String>)> + use<> {
         if self.shared.keep.worth() != self.kept {
             self.renew();
         }
         let spent_room = self.orders.len() >= UNIT_CALLS;
-        let (order, told) = watch::channel(if self.listing.leaving {
+        let (order, told) = watch::channel(if self.listing.draining {
             Order::Leave
         } else {
             Order::Proceed
         });
         self.orders
-            .insert((dispatch.task.clone(), dispatch.no.0), order);
+            .insert((dispatch.task.clone(), dispatch.number.0), order);
         let (client, address) = (self.client.clone(), self.listing.address);
         async move {
             let Dispatch {
                 task,
-                no,
-                call,
-                at,
+                number: no,
+                request: call,
+                sent_at: at,
                 time_out,
             } = dispatch;
             let got = match encode(&call, address, time_out) {
@@ -196,13 +196,13 @@
                 ..
             } = got;
             (
-                Ended {
+                DispatchResult {
                     task,
-                    no,
+                    number: no,
                     outcome,
-                    reply,
-                    spent: at.elapsed(),
-                    held,
+                    response: reply,
+                    elapsed: at.elapsed(),
+                    reported_load: held,
                 },
                 oddity,
             )
@@ -213,7 +213,7 @@
 /// What came of a call.
 struct Got {
     outcome: Outcome,
-    reply: Option<Reply>,
+    reply: Option<UnitResponse>,
     oddity: Option<String>,
     /// How many tasks the unit told that it holds.
     held: Option<f64>,
@@ -241,7 +241,7 @@
 }
 
 fn encode(
-    call: &Call,
+    call: &TaskRequest,
     address: SocketAddr,
     wait: Duration,
 ) -> Result<Request<Full<Bytes>>, http::Error> {
@@ -351,7 +351,7 @@
         Ok(body) if outcome == Outcome::Ok => {
             let content_type = head.headers.get(header::CONTENT_TYPE).cloned();
             Got {
-                reply: Some(Reply { body, content_type }),
+                reply: Some(UnitResponse { body, content_type }),
                 ..Got::of(outcome)
             }
         }
--- a/crates/beechcroft-rollout/src/baseline.rs
+++ b/crates/beechcroft-rollout/src/baseline.rs
@@ -44,7 +44,7 @@
     /// What nearly all responses take, once enough are known.
     pub(crate) fn usual_latency(&self) -> Option<Duration> {
         let is_known = self.latencies.total() >= MIN_LATENCIES;
-        is_known.then(|| Histogram::edge(self.latencies.bin_at(SLOW_SHARE)))
+        is_known.then(|| Histogram::edge(self.latencies.tail_bin(SLOW_SHARE)))
     }
 
     /// From which latency on a response is slow.
@@ -56,5 +56,5 @@
 /// From which latency on a response is slow; `None` while too few latencies are known.
 pub(crate) fn slow_threshold(latencies: &Histogram) -> Option<Duration> {
     let is_known = latencies.total() >= MIN_LATENCIES;
-    is_known.then(|| Histogram::edge(latencies.bin_at(SLOW_SHARE)).mul_f64(SLOW_FACTOR))
+    is_known.then(|| Histogram::edge(latencies.tail_bin(SLOW_SHARE)).mul_f64(SLOW_FACTOR))
 }
--- a/crates/beechcroft-rollout/src/detector.rs
+++ b/crates/beechcroft-rollout/src/detector.rs
@@ -234,12 +234,12 @@
         let baseline_failure_rate = self.baseline_failure_rate();
         let mut latencies = Histogram::default();
         for baseline in self.baselines.values() {
-            latencies.join(baseline.latencies().counts());
+            latencies.merge(baseline.latencies().counts());
         }
         let canary = self.canary.as_mut()?;
         let baseline_latencies = latencies.counts().to_vec();
         for peer in peers {
-            latencies.join(&peer.baseline_latencies);
+            latencies.merge(&peer.baseline_latencies);
         }
         self.fleet_latencies = latencies;
         let wants_rollback = canary.tick(baseline_failure_rate, peers);
--- a/crates/beechcroft-rollout/src/evidence.rs
+++ b/crates/beechcroft-rollout/src/evidence.rs
@@ -2,7 +2,7 @@
 
 use crate::UNHEALTHY_SHARE;
 use beechcroft::cusum::Cusum;
-use beechcroft::histogram::excess;
+use beechcroft::histogram::excess_over_median;
 use std::collections::BTreeMap;
 
 /// With fewer endpoints than this, nothing is said of single ones.
@@ -39,6 +39,6 @@
             .values()
             .map(|endpoint| endpoint.w.max(0.0))
             .collect();
-        self.total.w - excess(parts, few)
+        self.total.w - excess_over_median(parts, few)
     }
 }
--- a/crates/beechcroft-rollout/src/progression.rs
+++ b/crates/beechcroft-rollout/src/progression.rs
@@ -4,7 +4,7 @@
 use crate::baseline::MIN_FAILURE_RATE;
 use crate::{TrialCount, UNHEALTHY_SHARE};
 use beechcroft::cusum::MIN_OUTCOMES;
-use beechcroft::histogram::excess;
+use beechcroft::histogram::excess_over_median;
 use beechcroft_safeguards::Safeguard;
 use std::collections::BTreeMap;
 
@@ -147,7 +147,7 @@
     let parts = endpoints
         .values()
         .map(|count| count.nats(baseline_failure_rate).max(0.0));
-    excess(parts.collect(), few)
+    excess_over_median(parts.collect(), few)
 }
 
 impl StageView {
--- a/crates/beechcroft-settings/src/lib.rs
+++ b/crates/beechcroft-settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads a deployment's settings into those of the module; unknown keys are ignored. The adapter gets them on
 //! the simulator's wire, the relay in its configuration file; both read them here.
 
-use beechcroft::{Effect, GateMode, Group, PeerId, Settings, Track, ZoneId};
+use beechcroft::{DedupScope, Effect, GateMode, PeerId, Settings, Track, ZoneId};
 use serde_json::Value;
 use std::time::Duration;
 
@@ -124,10 +124,10 @@
         "retryable" => Effect::Idempotent,
         "fragile" => Effect::Unrepeatable,
         "dedup" => Effect::Deduplicated {
-            group: match node.word_or("group", "all")? {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
+            scope: match node.word_or("group", "all")? {
+                "all" => DedupScope::All,
+                "zone" => DedupScope::Zone,
+                "cell" => DedupScope::Cell,
                 _ => return Err(node.lacks("group")),
             },
             window: node.span("window_s")?,
@@ -136,10 +136,10 @@
     };
     Ok(Track {
         effect,
-        quoted: node.span("aim_s")?,
+        quoted_time: node.span("aim_s")?,
         utility: node.number("points")?,
         late_utility: node.number_or("late_worth", 0.0)?,
-        quoted_stretch: node.number_or("aim_stretch", 0.0)?,
+        quoted_time_per_work: node.number_or("aim_stretch", 0.0)?,
     })
 }
 
@@ -184,45 +184,45 @@
         return Err(all.out_of_range("me"));
     }
     let gate = match rollout.word("gate_mode")? {
-        "first_voice" => GateMode::FirstVoice,
-        "by_count" => GateMode::ByCount,
+        "first_voice" => GateMode::FirstVote,
+        "by_count" => GateMode::VoteCount,
         "automatic" => GateMode::Automatic,
         _ => return Err(rollout.lacks("gate_mode")),
     };
     let settings = Settings {
-        me: PeerId(me),
+        own_id: PeerId(me),
         relays,
         zone: zones.iter().position(|name| name == zone).map(ZoneId),
         tracks,
         tenant_quotas,
-        over_share_worth: all.number_or("over_share_worth", 1.0)?,
-        granularity: all.span_or("granularity_s", Duration::ZERO)?,
+        over_quota_weight: all.number_or("over_share_worth", 1.0)?,
+        clock_granularity: all.span_or("granularity_s", Duration::ZERO)?,
         cross_zone_charge: charges.number_or("cross_zone", 0.0)?,
-        ask_for_list: all.word_or("discovery", "pushed")? == "on_request",
-        may_tell_peers: limits.yes_or("peers", false)?,
-        may_abandon: limits.yes_or("cancel", false)?,
-        may_name_hold_off: limits.yes_or("retry_after", false)?,
+        discovery_on_request: all.word_or("discovery", "pushed")? == "on_request",
+        may_message_peers: limits.yes_or("peers", false)?,
+        may_cancel: limits.yes_or("cancel", false)?,
+        may_set_retry_after: limits.yes_or("retry_after", false)?,
         max_dispatches: limits.count("max_attempts")?,
-        max_hold_off: limits.span_or("max_retry_after_s", Duration::ZERO)?,
+        max_retry_after: limits.span_or("max_retry_after_s", Duration::ZERO)?,
         drain_grace: rules.span("drain_grace_s")?,
         idle_close: limits.span_or("idle_close_s", IDLE_CLOSE)?,
-        cold_from: rules.share("cold_from", rules.number("cold_from")?)?,
+        cold_capacity: rules.share("cold_from", rules.number("cold_from")?)?,
         warm_up: rules.span("warm_up_s")?,
-        fall_multiple: rules.number("fall_multiple")?,
-        overload_for: rules.span("overload_for_s")?,
+        overload_multiple: rules.number("fall_multiple")?,
+        overload_duration: rules.span("overload_for_s")?,
         gate,
-        replace: rollout.word_or("layout", "parallel")? == "replace",
+        in_place: rollout.word_or("layout", "parallel")? == "replace",
         stage_caps,
         stage_shares,
-        closed_stages: rollout.number_or("closed_stages", 0.0)? as usize,
-        exposure_free: rollout.number("free")?,
+        idempotent_only_stages: rollout.number_or("closed_stages", 0.0)? as usize,
+        exposure_allowance: rollout.number("free")?,
         exposure_window: rollout.span("counted_over_s")?,
         exposure_by_track: rollout.word("per")? == "each_class",
         forward_only: rollout.yes_or("forward_only", false)?,
-        answer_wait: rollout.span("answer_wait_s")?,
-        vote_life: rollout.span("vote_life_s")?,
+        vote_timeout: rollout.span("answer_wait_s")?,
+        vote_ttl: rollout.span("vote_life_s")?,
         votes_per_s: rollout.number("calls_per_s")?,
-        on_votes: rollout.count_or("on_votes", 0)?,
+        votes_to_advance: rollout.count_or("on_votes", 0)?,
         delay_price: rollout.number_or("delay_price", 0.0)?,
         complaint_share: rollout.share(
             "complaint_share",
--- a/src/cusum.rs
+++ b/src/cusum.rs
@@ -2,7 +2,7 @@
 //! [`crate::decide`] in the relay in service and by `beechcroft-rollout` in the system; neither holds a copy.
 
 pub const LOG_GAMMA: f64 = 9.21; // ln 10^4 ticks, the mean time between false alarms
-pub const NATS_FLOOR: f64 = 4.0; // no bit is set on less
+pub const MIN_THRESHOLD_NATS: f64 = 4.0; // no bit is set on less
 pub const MIN_OUTCOMES: u32 = 10; // nor on fewer outcomes of a stage
 
 /// W, and Z of the tick that is under way, in nats.
@@ -32,7 +32,7 @@
 }
 
 /// The same of lateness, which comes in bursts: a build must bring so many times as much.
-pub fn lateness(good: f64, times: f64, late: bool) -> f64 {
+pub fn lateness_log_ratio(good: f64, times: f64, late: bool) -> f64 {
     let good = good.clamp(0.01, 0.9 / times);
     nats(good, times * good, late)
 }
@@ -54,7 +54,7 @@
 
 /// What W must exceed for the bit, by the relay's weight (its I over the largest) and M.
 pub fn threshold(weight: f64, alarms_m: f64) -> f64 {
-    (LOG_GAMMA / alarms_m * weight).max(NATS_FLOOR)
+    (LOG_GAMMA / alarms_m * weight).max(MIN_THRESHOLD_NATS)
 }
 
 pub fn fuse(bits: impl Iterator<Item = (bool, f64)>, largest: f64) -> f64 {
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -5,8 +5,10 @@
 mod judge;
 mod vote;
 
-use crate::cusum::{self, lateness, log_ratio, LOG_GAMMA, MIN_OUTCOMES, NATS_FLOOR};
-use crate::histogram::{excess, Histogram, Tally, Window};
+use crate::cusum::{
+    self, lateness_log_ratio, log_ratio, LOG_GAMMA, MIN_OUTCOMES, MIN_THRESHOLD_NATS,
+};
+use crate::histogram::{excess_over_median, Histogram, Tally, Window};
 use crate::state::*;
 use crate::*;
 use beechcroft_fleet::subset;
@@ -82,9 +84,9 @@
 
 impl Relay {
     pub fn start(settings: &Settings, salt: u64, now: Duration, act: Act) -> Relay {
-        act.wake(TICK, Token(0));
-        if settings.ask_for_list {
-            act.follow_list();
+        act.set_timer(TICK, TimerId(0));
+        if settings.discovery_on_request {
+            act.watch_units();
         }
         Relay {
             now,
@@ -103,17 +105,17 @@
         }
     }
 
-    pub fn clock(&mut self, now: Duration) {
+    pub fn set_time(&mut self, now: Duration) {
         (self.now, self.fleet.now) = (now, now);
     }
 
-    pub fn list(&mut self) -> &mut Fleet {
+    pub fn fleet_mut(&mut self) -> &mut Fleet {
         &mut self.fleet
     }
 
     // Called at one place, from the event that has the same fields.
     #[allow(clippy::too_many_arguments)]
-    pub fn task_taken(
+    pub fn task_received(
         &mut self,
         id: TaskId,
         track: TrackId,
@@ -152,7 +154,8 @@
         let harmless = match self.tracks[task.track.0].effect {
             Effect::Idempotent
             | Effect::Deduplicated {
-                group: Group::All, ..
+                scope: DedupScope::All,
+                ..
             } => true,
             Effect::Deduplicated { .. } | Effect::Unrepeatable => task.ran.is_none(),
         };
@@ -170,7 +173,7 @@
         }
     }
 
-    pub fn load_told(&mut self, id: &TaskId, dispatch: DispatchNo, held: f64) {
+    pub fn load_reported(&mut self, id: &TaskId, dispatch: DispatchNo, held: f64) {
         let out = self.tasks.get(id).and_then(|task| task.out);
         for (_, at, _) in out.into_iter().filter(|(number, ..)| *number == dispatch) {
             self.fleet.units[at]
@@ -312,25 +315,25 @@
         }
     }
 
-    pub fn stream_began(&mut self, id: &TaskId) {
+    pub fn response_started(&mut self, id: &TaskId) {
         self.tasks
             .get_mut(id)
             .into_iter()
             .for_each(|task| task.stream = true);
     }
 
-    pub fn client_left(&mut self, id: &TaskId, act: Act) {
+    pub fn client_disconnected(&mut self, id: &TaskId, act: Act) {
         let task = self
             .tasks
             .get(id)
-            .filter(|task| self.fig.may_abandon && !task.stream);
+            .filter(|task| self.fig.may_cancel && !task.stream);
         task.and_then(|task| task.out)
             .into_iter()
-            .for_each(|(dispatch, ..)| act.abandon(id, dispatch));
+            .for_each(|(dispatch, ..)| act.cancel(id, dispatch));
     }
 
-    pub fn woken(&mut self, _token: Token, act: Act) {
-        act.wake(TICK, Token(0));
+    pub fn timer_fired(&mut self, _token: TimerId, act: Act) {
+        act.set_timer(TICK, TimerId(0));
         self.ticks += 1;
         self.measure();
         self.run_cusum();
--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -148,7 +148,7 @@
         let on_trial = self.cap_of(self.fleet.units[task.chosen].build).is_some();
         let keep = self.fig.window + self.fig.slack * 2;
         let unit = &mut self.fleet.units[task.chosen];
-        unit.sent(&task.id, self.now, task.work, self.fig.overload_for);
+        unit.sent(&task.id, self.now, task.work, self.fig.overload_duration);
         if on_trial {
             let counter = (unit.build, self.fig.counted(task.track));
             self.exposure
@@ -172,8 +172,8 @@
         let repeat = task.ran.is_none_or(|(ran_at, since)| match track.effect {
             Effect::Idempotent => true,
             Effect::Unrepeatable => false,
-            Effect::Deduplicated { group, window } => {
-                group.joins(&self.fleet.units[ran_at], unit)
+            Effect::Deduplicated { scope, window } => {
+                scope.joins(&self.fleet.units[ran_at], unit)
                     && self.now + self.fig.slack < since + window
             }
         });
@@ -187,12 +187,12 @@
         if !unit.is_cold(self.now, self.fig.warm_up) {
             return true;
         }
-        let span = self.fig.overload_for;
+        let span = self.fig.overload_duration;
         let (work_done, secs) = self.meter.bore;
         let warm = work_done / secs.max(0.1) * unit.nominal * span.as_secs_f64();
         let warm = if unit.near { warm } else { 0.0 }; // others keep to it
         let half_ago = self.now.saturating_sub(span / 2);
-        let part = COLD_MARGIN * self.fig.fall_multiple * unit.warmth(half_ago, &self.fig);
+        let part = COLD_MARGIN * self.fig.overload_multiple * unit.warmth(half_ago, &self.fig);
         let budget = (part * warm).max(1.0 / f64::from(self.fig.relays));
         let one = if unit.lot(self.fig.me) < budget {
             1.0
@@ -241,7 +241,9 @@
             return true;
         };
         let track = &self.tracks[task.track.0];
-        if cap <= 0.0 || (stage < self.fig.closed_stages && track.effect != Effect::Idempotent) {
+        if cap <= 0.0
+            || (stage < self.fig.idempotent_only_stages && track.effect != Effect::Idempotent)
+        {
             return false;
         }
         let counter = (build, self.fig.counted(task.track));
--- a/src/decide/vote.rs
+++ b/src/decide/vote.rs
@@ -27,9 +27,9 @@
         };
         let vote = match self.fig.gate {
             GateMode::Automatic if self.judge.bit => Vote::Hold,
-            GateMode::FirstVoice if on && self.fig.me.0 < PROCEED_VOICES => Vote::On,
+            GateMode::FirstVote if on && self.fig.me.0 < PROCEED_VOICES => Vote::On,
             // Departure: a round of votes takes long: those without whom it is not one vote ahead of it.
-            GateMode::ByCount if on || self.fig.turns.is_early() && self.is_unharmed(fused) => {
+            GateMode::VoteCount if on || self.fig.turns.is_early() && self.is_unharmed(fused) => {
                 Vote::On
             }
             _ => Vote::Nothing,
@@ -75,8 +75,14 @@
             Duration::ZERO
         };
         // Departure: nothing goes on while tasks are shed, both are late, or what fails proves nothing.
-        let calm = !self.is_busy() && self.judge.ambient < NATS_FLOOR || news.cap < SMALL_CAP;
-        let calm = calm && self.judge.surge.iter().all(|&surge| surge < NATS_FLOOR);
+        let calm =
+            !self.is_busy() && self.judge.ambient < MIN_THRESHOLD_NATS || news.cap < SMALL_CAP;
+        let calm = calm
+            && self
+                .judge
+                .surge
+                .iter()
+                .all(|&surge| surge < MIN_THRESHOLD_NATS);
         let clear = calm && fused <= 0.0 && self.worst().0 < CLEAR_NATS && youngest >= wait;
         // Departure: the more the next stage exposes, the more outcomes it takes.
         let next = *self.fig.stage_caps.get(news.stage.0 + 1).unwrap_or(&1.0);
@@ -88,7 +94,7 @@
         let Some(news) = self.news else { return };
         let (vote, settled) = self.stance(news, fused);
         // Where one voice is enough, hundreds need not speak; the platform takes so many votes of all.
-        let voices = if self.fig.gate == GateMode::FirstVoice {
+        let voices = if self.fig.gate == GateMode::FirstVote {
             FUSERS
         } else {
             self.fig.relays
@@ -96,7 +102,7 @@
         let wished = self
             .voice
             .wishes(Some(vote).filter(|&vote| vote != Vote::Nothing), self.now);
-        let (turns, life) = (&self.fig.turns, self.fig.vote_life);
+        let (turns, life) = (&self.fig.turns, self.fig.vote_ttl);
         let settled = self.voice.settles(settled, self.now, life);
         let turn = match vote {
             Vote::Back => turns.in_haste(wished),
@@ -109,7 +115,7 @@
         } else {
             turns.renew(life, RENEW)
         };
-        let wait = self.fig.answer_wait + TICK;
+        let wait = self.fig.vote_timeout + TICK;
         if self.fig.me.0 >= voices
             || !self
                 .voice
@@ -124,15 +130,15 @@
         act.vote(news.build, news.stage, vote);
     }
 
-    pub fn list_failed(&self, act: Act) {
-        act.follow_list();
+    pub fn discovery_failed(&self, act: Act) {
+        act.watch_units();
     }
 
     pub fn vote_answered(&mut self, outcome: Outcome) {
         let draw = self.rng.random();
         match outcome {
             Outcome::Ok => self.voice.taken(),
-            Outcome::Moot => self.voice.refused(self.now, |_| self.fig.vote_life), // the news is on its way
+            Outcome::Moot => self.voice.refused(self.now, |_| self.fig.vote_ttl), // the news is on its way
             _ => self
                 .voice
                 .refused(self.now, |times| self.fig.turns.again(times, draw)),
--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -27,7 +27,7 @@
     }
 
     /// A time that falls into the bin.
-    pub fn time_in(bin: usize) -> Duration {
+    pub fn bin_midpoint(bin: usize) -> Duration {
         Duration::from_secs_f64(0.010 * 2f64.powf((bin.min(BINS) as f64 + 0.5) / 2.0))
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// Adds another's counts, of the same bins.
-    pub fn join(&mut self, counts: &[u32]) {
+    pub fn merge(&mut self, counts: &[u32]) {
         for (held, more) in self.counts.iter_mut().zip(counts) {
             *held = held.saturating_add(*more);
         }
@@ -63,7 +63,7 @@
     }
 
     /// The lowest bin with no more than `share` of the times above it.
-    pub fn bin_at(&self, share: f64) -> usize {
+    pub fn tail_bin(&self, share: f64) -> usize {
         let mut above = self.total;
         let lowest = self.counts.iter().position(|count| {
             above -= count;
@@ -135,7 +135,7 @@
 }
 
 /// By how much the `few` largest parts together exceed as many of the median one.
-pub fn excess(mut parts: Vec<f64>, few: usize) -> f64 {
+pub fn excess_over_median(mut parts: Vec<f64>, few: usize) -> f64 {
     parts.sort_by(|one, other| other.total_cmp(one));
     let usual = parts.get(parts.len() / 2).copied().unwrap_or(0.0);
     parts.iter().take(few).map(|part| part - usual).sum()
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -39,7 +39,7 @@
 
 /// A kind of machine: position in the front's own list of kinds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct KindId(pub usize);
+pub struct MachineTypeId(pub usize);
 
 /// A cell: a small set of units that share knowledge of keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -63,11 +63,11 @@
 
 /// Marks a wake-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Token(pub u64);
+pub struct TimerId(pub u64);
 
 /// The units among which repeats of a deduplicated task are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
@@ -77,7 +77,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Idempotent,
-    Deduplicated { group: Group, window: Duration },
+    Deduplicated { scope: DedupScope, window: Duration },
     Unrepeatable,
 }
 
@@ -85,61 +85,61 @@
 #[derive(Clone, Debug)]
 pub struct Track {
     pub effect: Effect,
-    pub quoted: Duration,
+    pub quoted_time: Duration,
     pub utility: f64,
     /// Share of the utility that an answer after the quoted time still earns.
     pub late_utility: f64,
     /// The quoted time grows by this multiple of the task's own work.
-    pub quoted_stretch: f64,
+    pub quoted_time_per_work: f64,
 }
 
 /// How votes move a build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateMode {
-    FirstVoice,
-    ByCount,
+    FirstVote,
+    VoteCount,
     Automatic,
 }
 
 /// What the front is told at start. The module turns it into the few figures it uses and keeps none of it.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    pub me: PeerId,
+    pub own_id: PeerId,
     pub relays: u32,
     pub zone: Option<ZoneId>,
     pub tracks: Vec<Track>,
     pub tenant_quotas: Vec<f64>,
-    pub over_share_worth: f64,
-    pub granularity: Duration,
+    pub over_quota_weight: f64,
+    pub clock_granularity: Duration,
     pub cross_zone_charge: f64,
-    pub ask_for_list: bool,
-    pub may_tell_peers: bool,
-    pub may_abandon: bool,
-    pub may_name_hold_off: bool,
+    pub discovery_on_request: bool,
+    pub may_message_peers: bool,
+    pub may_cancel: bool,
+    pub may_set_retry_after: bool,
     pub max_dispatches: u32,
-    pub max_hold_off: Duration,
+    pub max_retry_after: Duration,
     pub drain_grace: Duration,
     /// After which a unit may close an idle connection.
     pub idle_close: Duration,
-    pub cold_from: f64,
+    pub cold_capacity: f64,
     pub warm_up: Duration,
-    pub fall_multiple: f64,
-    pub overload_for: Duration,
+    pub overload_multiple: f64,
+    pub overload_duration: Duration,
     pub gate: GateMode,
-    pub replace: bool,
+    pub in_place: bool,
     pub stage_caps: Vec<f64>,
     /// By stage, the part of the fleet's places that runs the new build; none where that is not stated.
     pub stage_shares: Vec<f64>,
-    pub closed_stages: usize,
-    pub exposure_free: f64,
+    pub idempotent_only_stages: usize,
+    pub exposure_allowance: f64,
     pub exposure_window: Duration,
     pub exposure_by_track: bool,
     pub forward_only: bool,
-    pub answer_wait: Duration,
-    pub vote_life: Duration,
+    pub vote_timeout: Duration,
+    pub vote_ttl: Duration,
     pub votes_per_s: f64,
     /// Votes that take a build a stage further; 0 where that is not stated.
-    pub on_votes: u32,
+    pub votes_to_advance: u32,
     /// Points lost if all were served by an older build than the newest good one.
     pub delay_price: f64,
     /// The share of wrong answers that clients report.
@@ -197,11 +197,11 @@
     fn dispatch(&mut self, task: &TaskId, unit: &UnitId, time_out: Duration);
     fn nack(&mut self, task: &TaskId, hold_off: Duration);
     fn terminate(&mut self, task: &TaskId);
-    fn abandon(&mut self, task: &TaskId, dispatch: DispatchNo);
+    fn cancel(&mut self, task: &TaskId, dispatch: DispatchNo);
     /// To one relay of the tier, or to all.
-    fn tell(&mut self, peer: Option<PeerId>, payload: &[u8]);
+    fn send_to_peers(&mut self, peer: Option<PeerId>, payload: &[u8]);
     fn vote(&mut self, build: BuildId, stage: Stage, vote: Vote);
-    fn wake(&mut self, after: Duration, token: Token);
-    fn follow_list(&mut self);
+    fn set_timer(&mut self, after: Duration, token: TimerId);
+    fn watch_units(&mut self);
     fn log(&mut self, line: &str);
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -31,27 +31,27 @@
     pub slack: Duration, // times on the wire are a tick or two coarse
     pub fuses: bool,     // one of the relays that are told every outcome
     pub zones_cost: bool,
-    pub may_abandon: bool,
+    pub may_cancel: bool,
     pub tells: bool,
     pub hold_off: Duration,
     pub max_dispatches: u32,
-    pub cold_from: f64,
+    pub cold_capacity: f64,
     pub warm_up: Duration,
-    pub fall_multiple: f64,
-    pub overload_for: Duration,
+    pub overload_multiple: f64,
+    pub overload_duration: Duration,
     pub drain_grace: Duration,
     pub gate: GateMode,
     pub replace: bool,
     pub stage_caps: Vec<f64>,
     pub stage_shares: Vec<f64>,
-    pub closed_stages: usize,
+    pub idempotent_only_stages: usize,
     pub free: f64,
     pub window: Duration,
     pub by_track: bool,
     pub forward_only: bool,
-    pub vote_life: Duration,
+    pub vote_ttl: Duration,
     pub turns: Turns, // at the platform
-    pub answer_wait: Duration,
+    pub vote_timeout: Duration,
     pub complaint_share: f64,
     pub delay_price: f64,
     pub kept: Duration, // an idle connection to a unit
@@ -62,12 +62,12 @@
     pub quoted: Duration,
     pub stretch: f64,
     pub late_pays: bool,
-    pub utility: f64,                       // over the highest one
-    pub times: BTreeMap<KindId, Histogram>, // of the earlier build's answers
+    pub utility: f64,                              // over the highest one
+    pub times: BTreeMap<MachineTypeId, Histogram>, // of the earlier build's answers
     pub taken: Window,
-    pub failures: BTreeMap<KindId, [Past; 2]>, // of the earlier build, by kind of machine: errors, losses
-    pub slow: Tally,                           // answers above the mark, beside the trial
-    pub marks: BTreeMap<KindId, usize>, // bins of the slowest answers before the trial, by kind of machine
+    pub failures: BTreeMap<MachineTypeId, [Past; 2]>, // of the earlier build, by kind of machine: errors, losses
+    pub slow: Tally,                                  // answers above the mark, beside the trial
+    pub marks: BTreeMap<MachineTypeId, usize>, // bins of the slowest answers before the trial, by kind of machine
 }
 
 /// Failures of the earlier build: their rate before the trial, and their count beside it.
@@ -102,7 +102,7 @@
     pub tag: u32, // names it to peers in three bytes
     pub build: BuildId,
     pub zone: Option<ZoneId>,
-    pub kind: KindId,
+    pub kind: MachineTypeId,
     pub cell: CellId,
     pub nominal: f64,
     pub ready: bool,
@@ -231,7 +231,7 @@
     pub fn new(settings: &Settings, fusers: u32) -> Figures {
         let relays = f64::from(settings.relays);
         Figures {
-            me: settings.me,
+            me: settings.own_id,
             relays: settings.relays,
             zone: settings.zone,
             quotas: settings
@@ -239,40 +239,40 @@
                 .iter()
                 .map(|quota| quota / relays)
                 .collect(),
-            over_worth: settings.over_share_worth,
-            slack: settings.granularity * 2,
-            fuses: settings.me.0 < fusers,
+            over_worth: settings.over_quota_weight,
+            slack: settings.clock_granularity * 2,
+            fuses: settings.own_id.0 < fusers,
             zones_cost: settings.cross_zone_charge > 0.0,
-            may_abandon: settings.may_abandon,
-            tells: settings.may_tell_peers && settings.relays > 1,
-            hold_off: if settings.may_name_hold_off {
-                settings.max_hold_off
+            may_cancel: settings.may_cancel,
+            tells: settings.may_message_peers && settings.relays > 1,
+            hold_off: if settings.may_set_retry_after {
+                settings.max_retry_after
             } else {
                 Duration::ZERO
             },
             max_dispatches: settings.max_dispatches,
-            cold_from: settings.cold_from,
+            cold_capacity: settings.cold_capacity,
             warm_up: settings.warm_up,
-            fall_multiple: settings.fall_multiple,
-            overload_for: settings.overload_for,
+            overload_multiple: settings.overload_multiple,
+            overload_duration: settings.overload_duration,
             drain_grace: settings.drain_grace,
             gate: settings.gate,
-            replace: settings.replace,
+            replace: settings.in_place,
             stage_caps: settings.stage_caps.clone(),
             stage_shares: settings.stage_shares.clone(),
-            closed_stages: settings.closed_stages,
-            free: settings.exposure_free,
+            idempotent_only_stages: settings.idempotent_only_stages,
+            free: settings.exposure_allowance,
             window: settings.exposure_window,
             by_track: settings.exposure_by_track,
             forward_only: settings.forward_only,
-            vote_life: settings.vote_life,
+            vote_ttl: settings.vote_ttl,
             turns: Turns::new(
-                settings.me.0,
+                settings.own_id.0,
                 settings.relays,
                 settings.votes_per_s,
-                settings.on_votes,
+                settings.votes_to_advance,
             ),
-            answer_wait: settings.answer_wait,
+            vote_timeout: settings.vote_timeout,
             complaint_share: settings.complaint_share,
             delay_price: settings.delay_price,
             kept: settings.idle_close.mul_f64(KEPT_PART),
@@ -310,8 +310,8 @@
     fn new(track: &Track, top: f64) -> TrackState {
         TrackState {
             effect: track.effect,
-            quoted: track.quoted,
-            stretch: track.quoted_stretch,
+            quoted: track.quoted_time,
+            stretch: track.quoted_time_per_work,
             late_pays: track.late_utility > 0.0,
             utility: track.utility / top,
             times: BTreeMap::new(),
@@ -327,7 +327,7 @@
         self.marks = self
             .times
             .iter()
-            .map(|(&kind, times)| (kind, times.bin_at(slow_share)))
+            .map(|(&kind, times)| (kind, times.tail_bin(slow_share)))
             .collect();
         self.failures
             .values_mut()
@@ -337,12 +337,12 @@
     }
 
     /// The mark of slow answers on a kind of machine, set late where it becomes known only now.
-    pub fn slow_mark(&mut self, kind: KindId, slow_share: f64, least: f64) -> Option<usize> {
+    pub fn slow_mark(&mut self, kind: MachineTypeId, slow_share: f64, least: f64) -> Option<usize> {
         let times = self
             .times
             .get(&kind)
             .filter(|times| f64::from(times.total()) > least);
-        let late = times.map(|times| times.bin_at(slow_share));
+        let late = times.map(|times| times.tail_bin(slow_share));
         self.marks.get(&kind).copied().or_else(|| {
             self.marks.extend(late.map(|mark| (kind, mark)));
             late
@@ -354,7 +354,7 @@
         let edges = self
             .times
             .values()
-            .map(|times| Histogram::edge(times.bin_at(share)));
+            .map(|times| Histogram::edge(times.tail_bin(share)));
         edges.max().unwrap_or_default()
     }
 
@@ -365,7 +365,7 @@
         (of(0) + of(1)).max(0.01)
     }
 
-    pub fn past(&self, kind: KindId) -> [Past; 2] {
+    pub fn past(&self, kind: MachineTypeId) -> [Past; 2] {
         self.failures.get(&kind).copied().unwrap_or_default()
     }
 }
@@ -618,7 +618,7 @@
 }
 
 impl Fleet {
-    pub fn begins(&mut self, whole: bool) {
+    pub fn begin_update(&mut self, whole: bool) {
         self.units
             .iter_mut()
             .filter(|_| whole)
@@ -627,12 +627,12 @@
 
     // Called at one place, from the line of the list that has the same fields.
     #[allow(clippy::too_many_arguments)]
-    pub fn entry(
+    pub fn update_unit(
         &mut self,
         id: UnitId,
         build: BuildId,
         zone: Option<ZoneId>,
-        kind: KindId,
+        kind: MachineTypeId,
         cell: CellId,
         health: Health,
         nominal: f64,
@@ -695,7 +695,7 @@
     }
 
     /// How many places are kept.
-    pub fn places(&self) -> usize {
+    pub fn slot_count(&self) -> usize {
         self.units.len()
     }
 
@@ -758,7 +758,7 @@
                 TrackId((told[3] >> 3 & 15).into()),
                 CODES[usize::from(told[3] & 7)],
             );
-            let (spent, marks) = (Histogram::time_in((told[4] & 31).into()), told[4] >> 5);
+            let (spent, marks) = (Histogram::bin_midpoint((told[4] & 31).into()), told[4] >> 5);
             let (cold, repeat, flagged) = (marks & 1 > 0, marks & 2 > 0, marks & 4 > 0);
             let apart = told[3] & 128 > 0;
             let unit = *self.tags.get(&tag).filter(|_| track.0 < tracks)?;
@@ -775,7 +775,7 @@
         })
     }
 
-    pub fn ends(&mut self) {
+    pub fn finish_update(&mut self) {
         self.ranked = false;
         for unit in self.units.iter_mut().filter(|unit| !unit.listed) {
             unit.ready = false;
@@ -802,13 +802,13 @@
     pub forward_keys: HashSet<Key>,
 }
 
-impl Group {
+impl DedupScope {
     /// Whether a repeat of what went to one unit is dropped by the other.
     pub fn joins(self, one: &Unit, other: &Unit) -> bool {
         match self {
-            Group::All => true,
-            Group::Zone => one.zone == other.zone,
-            Group::Cell => one.cell == other.cell && one.zone == other.zone,
+            DedupScope::All => true,
+            DedupScope::Zone => one.zone == other.zone,
+            DedupScope::Cell => one.cell == other.cell && one.zone == other.zone,
         }
     }
 }
@@ -824,7 +824,7 @@
             return 1.0;
         };
         let part = at.saturating_sub(started).as_secs_f64() / fig.warm_up.as_secs_f64();
-        fig.cold_from + (1.0 - fig.cold_from) * part.min(1.0)
+        fig.cold_capacity + (1.0 - fig.cold_capacity) * part.min(1.0)
     }
 
     /// A number from 0 to 1 for this unit at one relay, evenly spread over relays.
