--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,5 +1,10 @@
-//! All decisions of a relay: [`Relay::clock`] and the method of what happened in, [`Actions`] out. A task runs
-//! through `CHAIN`, in and out; `Relay::permits` is the one gate, `Relay::close` the one end.
+//! All decisions of the relay in service. The owner of [`Relay`] (`beechcroft-core`, or the adapter of the simulator)
+//! sets the time with [`Relay::set_time`] and calls one method for each event; the relay acts through [`Actions`].
+//!
+//! Tasks pass through the request stages of `PIPELINE` in order, their outcomes through the outcome stages in reverse.
+//! Every dispatch passes `Relay::may_dispatch`, and every final answer other than a unit's own is given by
+//! `Relay::finish`. Comments that begin with "Departure" mark where the code departs from the paper's mechanism
+//! (`docs/design.md`).
 
 mod choose;
 mod judge;
@@ -17,102 +22,159 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
 
-// From the design page.
+// The mechanism, from docs/design.md.
+
+/// Interval between two evaluations of the sums.
 const TICK: Duration = Duration::from_millis(100);
-const ALARMS_M: f64 = 1.0; // open in the design; why not 2 is in docs/design.md
-const TRIAL_SHARE: f64 = 0.8;
-const TELL_EVERY: u64 = 10; // ticks
-const PEER_LAPSE: Duration = Duration::from_secs(3);
-const PROCEED_VOICES: u32 = 3;
-const FUSERS: u32 = 5; // relays, from number 0, that are told every outcome
+/// M: the weighted sum of alarm bits at which relays vote a build back. The design leaves it open; docs/design.md says
+/// why it is not 2.
+const ALARMS_M: f64 = 1.0;
+/// Share of the exposure cap that is used where the task can also go to the earlier build.
+const EXPOSURE_TARGET_SHARE: f64 = 0.8;
+/// Interval between two messages to peers, in ticks.
+const PEER_STATE_INTERVAL_TICKS: u64 = 10;
+/// Time after which a peer's last state is disregarded.
+const PEER_STATE_TTL: Duration = Duration::from_secs(3);
+/// Number of relays, from number 0, that vote to advance where the first vote is enough.
+const FIRST_VOTE_VOTERS: u32 = 3;
+/// Number of relays, from number 0, that receive every outcome and judge the build.
+const JUDGING_RELAYS: u32 = 5;
+
+// Baselines and evidence.
+
+/// Outcomes of the earlier build after which counts are halved, at low rates.
+const MIN_BASELINE_WINDOW: f64 = 400.0;
+/// Time that the outcomes held of the earlier build cover, at high rates.
+const BASELINE_SPAN: Duration = Duration::from_secs(4);
+/// Response times of the earlier build above which a slow bin can be set; with fewer there is no comparison.
+const MIN_BASELINE_SAMPLES: f64 = 30.0;
+/// Outcomes of a stage before a build may get all of the traffic; fewer before a stage with a lower cap.
+const OUTCOMES_TO_ADVANCE: f64 = 50.0;
+/// Share of a stage's units that must be listed before the stage may end.
+const MIN_LISTED_SHARE: f64 = 0.5;
+/// Sum, in nats, above which a build does not advance.
+const CLEAR_SUM_NATS: f64 = 3.0;
+/// Share of the earlier build's answers that lie above the slow bin.
+const SLOW_SHARE: f64 = 0.1;
+/// Multiple of the usual share of late dispatches that is not explained by chance.
+const LOSS_RATE_FACTOR: f64 = 3.0;
+/// Multiple of the earlier build's share of slow answers that makes a build slow.
+const SLOW_RATE_FACTOR: f64 = 5.0;
+/// Share that counts as high: of late tasks in a track or of a tenant while others have less than half of it, of
+/// retries after an error that fail again, and of slow dispatches that are lost.
+const HIGH_FAILURE_SHARE: f64 = 0.3;
+/// Outcomes after which counts are halved where changes must show soon.
+const RECENT_SAMPLES: f64 = 48.0;
+/// Share of retries, or of waits for the whole quoted time, that are still made while they are mostly in vain, to
+/// notice when that ends.
+const PROBE_SHARE: f64 = 0.1;
+/// Share of first dispatches past half of the quoted time from which on none is given up early.
+const MAX_SLOW_SHARE: f64 = 0.05;
+/// Number of wrong answers that one client's report may stand for, at most.
+const MAX_COMPLAINT_WEIGHT: f64 = 2.0;
+/// How long lateness of both builds is accepted at a delay price of 1, before the build is held responsible.
+const LATENESS_LIMIT: Duration = Duration::from_secs(28);
+/// Load relative to that before the trial above which lateness is no evidence.
+const LOAD_INCREASE: f64 = 1.25;
+/// Exposure cap below which a trial is too small to slow the earlier build.
+const SMALL_CAP: f64 = 0.1;
+
+// Load.
+
+/// Multiple of a tenant's quota up to which its tasks do not count as excess.
+const QUOTA_MARGIN: f64 = 1.1;
+/// Gain by which the mean work follows a task's hint.
+const MEAN_WORK_GAIN: f64 = 0.02;
+/// Time that the arrival rate and the work rate of warm units cover.
+const RATE_SPAN: Duration = Duration::from_secs(10);
+/// Share of what the rule on cold units permits that is used.
+const COLD_MARGIN: f64 = 0.7;
+/// Mean response time over quoted time above which tasks are shed.
+const OVERLOAD_LATENCY_RATIO: f64 = 0.5;
+/// Time for which load counts as being shed after it was.
+const SHEDDING_SPAN: Duration = Duration::from_secs(2);
 
-const KEEP: f64 = 400.0; // outcomes held of the earlier build before halving, at least
-const KEEP_FOR: Duration = Duration::from_secs(4); // of outcomes held where they are many
-const BASELINE: f64 = 30.0; // outcomes of the earlier build without which there is nothing to compare with
-const EVIDENCE: f64 = 50.0; // outcomes before all of the traffic may go to a build
-const LISTED: f64 = 0.5; // of a stage's units that must be listed before it may end
-const CLEAR_NATS: f64 = 3.0; // a sum above this is no ground to go on
-const SLOW_SHARE: f64 = 0.1; // of the earlier build's answers lie above the slow mark
-const LATE_TIMES: f64 = 3.0; // times the usual share of late dispatches is no chance
-const SLOW_TIMES: f64 = 5.0; // times the earlier build's share of slow answers makes a slow build
-const APART: f64 = 0.3; // of a kind's tasks late, of another's under half of that; of repeats, slow ones
-const LATELY: f64 = 48.0; // outcomes held of what must be known soon
-const VAIN_TRIES: f64 = 0.1; // of what is mostly in vain, repeats or long waits, is done to see it pass
-const SLOWER: f64 = 0.05; // of answers past half their quoted time: from there on none is given up sooner
-const FLAG_WEIGHT: f64 = 2.0; // wrong answers that one report may speak for
-const HOLD: Duration = Duration::from_secs(28); // at a price of 1, how long lateness of both is borne
-const LOADED: f64 = 1.25; // times the load before the trial
-const SMALL_CAP: f64 = 0.1; // below this share a trial is too small to slow the earlier build
-const QUOTA_MARGIN: f64 = 1.1; // of a tenant's quota that is not yet excess
-const WORK_PART: f64 = 0.02; // of a hint by which the mean work follows it
-const BORE_FOR: Duration = Duration::from_secs(10); // of work done that is held before halving
-const COLD_MARGIN: f64 = 0.7; // of what the rule on cold units would bear
-const BUSY_RATIO: f64 = 0.5; // mean answer time over quoted time above which tasks are given up early
-const BUSY_FOR: Duration = Duration::from_secs(2); // for which having shed tasks counts
-const ASIDE_SHARE: f64 = 0.3; // of a build's units may be set aside at once
-const CROWDED: f64 = 2.0; // times another unit's open tasks from which a task goes there
-const RARE: f64 = 0.001; // chance of a streak by the fleet's own failures from which it is the unit's
-const STREAK: u32 = 3; // failures in a row that set a unit aside
-const RENEW: f64 = 0.6; // of a vote's life, after which it is cast again
-const ZONE_PENALTY: f64 = 2.0; // open tasks more before a crossing pays
+// Choice and ejection of units.
 
-type Act<'a> = &'a mut dyn Actions;
+/// Share of a build's units that may be ejected at once.
+const MAX_EJECTED_SHARE: f64 = 0.3;
+/// Multiple of another unit's tasks in flight from which a task goes to that other unit, of whichever build.
+const CROWDED_FACTOR: f64 = 2.0;
+/// Probability of a streak under the fleet's own failure rate below which the streak is the unit's fault.
+const MAX_STREAK_PROBABILITY: f64 = 0.001;
+/// Consecutive failures before a unit can be ejected for its streak.
+const EJECTION_STREAK: u32 = 3;
+/// Tasks in flight that a unit of this zone may have more than one in another zone.
+const CROSS_ZONE_PENALTY: f64 = 2.0;
 
-type Inward = fn(&mut Relay, &mut Task, Act) -> Flow;
-type Outward = fn(&mut Relay, &Ended);
-const CHAIN: [(Inward, Outward); 3] = [
-    (Relay::admit, Relay::learn_times),
-    (Relay::choose, Relay::judge),
-    (Relay::send, Relay::watch_health),
+// Votes.
+
+/// Share of a vote's lifetime after which it is cast again.
+const VOTE_RENEWAL_SHARE: f64 = 0.6;
+
+type DynActions<'a> = &'a mut dyn Actions;
+
+type RequestStage = fn(&mut Relay, &mut Task, DynActions) -> Flow;
+type OutcomeStage = fn(&mut Relay, &OutcomeReport);
+/// The stages of a relay: what is done with a task before its dispatch, and what is learned from its outcome.
+const PIPELINE: [(RequestStage, OutcomeStage); 3] = [
+    (Relay::admit, Relay::update_latencies),
+    (Relay::choose_unit, Relay::record_evidence),
+    (Relay::dispatch, Relay::update_ejection),
 ];
 
+/// One relay of the tier: the only place where decisions are made. It does no I/O and reads no clock.
 pub struct Relay {
     now: Duration,
     rng: Pcg64Mcg,
-    fig: Figures,
+    params: Params,
     tracks: Vec<TrackState>,
     fleet: Fleet,
     tasks: HashMap<TaskId, Task>,
     meter: Meter,
-    news: Option<News>,
+    rollout: Option<RolloutState>,
     exposure: Exposure,
-    judge: Judge,
+    detector: Detector,
     peers: Peers,
-    voice: Voice<Vote>,
+    ballot: Voice<Vote>,
     ticks: u64,
 }
 
 impl Relay {
-    pub fn start(settings: &Settings, salt: u64, now: Duration, act: Act) -> Relay {
-        act.set_timer(TICK, TimerId(0));
+    /// Starts a relay that knows no unit and no build yet. `seed` is that of its random numbers.
+    pub fn start(settings: &Settings, seed: u64, now: Duration, actions: DynActions) -> Relay {
+        actions.set_timer(TICK, TimerId(0));
         if settings.discovery_on_request {
-            act.watch_units();
+            actions.watch_units();
         }
         Relay {
             now,
-            rng: Pcg64Mcg::seed_from_u64(salt),
-            fig: Figures::new(settings, FUSERS),
-            tracks: TrackState::all(&settings.tracks),
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            params: Params::new(settings, JUDGING_RELAYS),
+            tracks: TrackState::from_tracks(&settings.tracks),
             fleet: Fleet::default(),
             tasks: HashMap::new(),
             meter: Meter::new(settings),
-            news: None,
+            rollout: None,
             exposure: Exposure::default(),
-            judge: Judge::new(settings.tracks.len(), now),
+            detector: Detector::new(settings.tracks.len(), now),
             peers: Peers::default(),
-            voice: Voice::default(),
+            ballot: Voice::default(),
             ticks: 0,
         }
     }
 
+    /// Sets the time of the events that follow; it must not go back.
     pub fn set_time(&mut self, now: Duration) {
         (self.now, self.fleet.now) = (now, now);
     }
 
+    /// The fleet, for updates from discovery.
     pub fn fleet_mut(&mut self) -> &mut Fleet {
         &mut self.fleet
     }
 
+    /// Takes a task. `left` is the time until its client gives up, `work` the client's estimate of its work.
     // Called at one place, from the event that has the same fields.
     #[allow(clippy::too_many_arguments)]
     pub fn task_received(
@@ -123,249 +185,299 @@
         key: Option<Key>,
         left: Duration,
         work: Option<Duration>,
-        act: Act,
+        actions: DynActions,
     ) {
-        let work = work.map_or(0.0, |work| work.as_secs_f64());
-        let relative = self.meter.relative_work(work, WORK_PART);
-        let (quotas, draw) = (&self.fig.quotas, self.rng.random());
-        let over_share = self.meter.over_share(tenant, quotas, QUOTA_MARGIN, draw);
+        let work_s = work.map_or(0.0, |work| work.as_secs_f64());
+        let relative = self.meter.relative_work(work_s, MEAN_WORK_GAIN);
+        let (quotas, draw) = (&self.params.quotas, self.rng.random());
+        let over_quota = self.meter.is_over_quota(tenant, quotas, QUOTA_MARGIN, draw);
         let state = &mut self.tracks[track.0];
-        state.taken.add(self.now, 1.0, self.fig.window);
-        self.meter.arrived += 1.0;
-        let quoted = (state.quoted + Duration::from_secs_f64(work * state.stretch)).min(left);
-        let by = |span: Duration| (self.now + span).saturating_sub(self.fig.slack);
-        let mut task = Task::new(id, track, key, by(left), by(quoted));
-        (task.work, task.over_share, task.tenant) = (relative, over_share, tenant);
-        self.run_chain(task, act);
+        state
+            .arrivals
+            .add(self.now, 1.0, self.params.exposure_window);
+        self.meter.arrivals += 1.0;
+        let quoted_time = (state.quoted_time
+            + Duration::from_secs_f64(work_s * state.quoted_time_per_work))
+        .min(left);
+        let deadline = |span: Duration| (self.now + span).saturating_sub(self.params.clock_slack);
+        let mut task = Task::new(id, track, key, deadline(left), deadline(quoted_time));
+        (task.work, task.over_quota, task.tenant) = (relative, over_quota, tenant);
+        self.run_pipeline(task, actions);
     }
 
-    fn run_chain(&mut self, mut task: Task, act: Act) {
-        for (inward, _) in CHAIN {
-            match inward(self, &mut task, act) {
-                Flow::Pass => {}
-                Flow::Keep => return drop(self.tasks.insert(task.id.clone(), task)),
-                Flow::End => return self.close(task, act),
+    fn run_pipeline(&mut self, mut task: Task, actions: DynActions) {
+        for (stage, _) in PIPELINE {
+            match stage(self, &mut task, actions) {
+                Flow::Continue => {}
+                Flow::Dispatched => return drop(self.tasks.insert(task.id.clone(), task)),
+                Flow::Finish => return self.finish(task, actions),
             }
         }
     }
 
-    /// The one place of final answers: a nack where trying again is harmless, else a termination.
-    fn close(&mut self, task: Task, act: Act) {
-        let harmless = match self.tracks[task.track.0].effect {
+    /// Gives the final answer of a task that no unit has handled: a nack where its client can safely try again, else a
+    /// termination.
+    fn finish(&mut self, task: Task, actions: DynActions) {
+        let safe_to_retry = match self.tracks[task.track.0].effect {
             Effect::Idempotent
             | Effect::Deduplicated {
                 scope: DedupScope::All,
                 ..
             } => true,
-            Effect::Deduplicated { .. } | Effect::Unrepeatable => task.ran.is_none(),
+            Effect::Deduplicated { .. } | Effect::Unrepeatable => task.may_have_run.is_none(),
         };
-        let busy = self.meter.time_ratio > BUSY_RATIO || self.now + self.fig.slack >= task.quoted;
-        match harmless {
-            true => act.nack(
+        let overloaded = self.meter.latency_ratio > OVERLOAD_LATENCY_RATIO
+            || self.now + self.params.clock_slack >= task.quoted_deadline;
+        match safe_to_retry {
+            true => actions.nack(
                 &task.id,
-                if busy {
-                    self.fig.hold_off
+                if overloaded {
+                    self.params.retry_after
                 } else {
                     Duration::ZERO
                 },
             ),
-            false => act.terminate(&task.id),
+            false => actions.terminate(&task.id),
         }
     }
 
+    /// Takes a unit's report, sent with its response, of how many tasks it holds.
     pub fn load_reported(&mut self, id: &TaskId, dispatch: DispatchNo, held: f64) {
-        let out = self.tasks.get(id).and_then(|task| task.out);
-        for (_, at, _) in out.into_iter().filter(|(number, ..)| *number == dispatch) {
+        let in_flight = self.tasks.get(id).and_then(|task| task.in_flight);
+        for (_, at, _) in in_flight
+            .into_iter()
+            .filter(|(number, ..)| *number == dispatch)
+        {
             self.fleet.units[at]
-                .held
-                .tells(held, self.now, self.meter.usual.value());
-            self.meter.usual.tells(held);
+                .reported_load
+                .tells(held, self.now, self.meter.usual_load.value());
+            self.meter.usual_load.tells(held);
         }
     }
 
+    /// Takes the end of a dispatch; `settled` if the client has its answer or has left. A task that is not settled goes
+    /// through the pipeline again.
     pub fn dispatch_ended(
         &mut self,
         id: &TaskId,
         dispatch: DispatchNo,
         outcome: Outcome,
-        spent: Duration,
+        elapsed: Duration,
         settled: bool,
-        act: Act,
+        actions: DynActions,
     ) {
         let Some(mut task) = self.tasks.remove(id) else {
             return;
         };
-        let Some((_, unit, sent)) = task.out.take_if(|(number, ..)| *number == dispatch) else {
+        let Some((_, slot, sent_at)) = task.in_flight.take_if(|(number, ..)| *number == dispatch)
+        else {
             return drop(self.tasks.insert(id.clone(), task));
         };
-        let at = &mut self.fleet.units[unit];
-        at.waiting.retain(|waiting| waiting != id);
+        let unit = &mut self.fleet.units[slot];
+        unit.in_flight.retain(|in_flight| in_flight != id);
         let (build, cold, ran) = (
-            at.build,
-            at.is_cold(sent, self.fig.warm_up),
+            unit.build,
+            unit.is_cold(sent_at, self.params.warm_up),
             !outcome.never_ran(),
         );
-        let seen = if sent < at.since {
+        // An outcome of the process that ran there before is no evidence about the present one.
+        let observed = if sent_at < unit.first_listed_at {
             Outcome::Moot
         } else {
             outcome
-        }; // of what ran there before
-        let (track, repeat, apart) = (task.track, task.failed_on.is_some(), self.is_apart(&task));
+        };
+        let (track, is_retry, late_everywhere) = (
+            task.track,
+            task.failed_on.is_some(),
+            self.is_late_everywhere(&task),
+        );
         self.meter.in_flight -= 1.0;
-        if ran && !repeat {
-            self.meter.missed(
+        if ran && !is_retry {
+            self.meter.record_lateness(
                 track,
                 task.tenant,
-                outcome != Outcome::Ok || self.now > task.quoted,
-                LATELY,
+                outcome != Outcome::Ok || self.now > task.quoted_deadline,
+                RECENT_SAMPLES,
+            );
+            self.meter.record_first_dispatch(
+                outcome,
+                elapsed,
+                self.tracks[track.0].quoted_time,
+                [MIN_BASELINE_WINDOW, RECENT_SAMPLES],
             );
-            self.meter
-                .paced(outcome, spent, self.tracks[track.0].quoted, [KEEP, LATELY]);
         }
-        self.learn(
-            &Ended {
-                unit,
+        self.record_outcome(
+            &OutcomeReport {
+                unit: slot,
                 track,
-                outcome: seen,
-                spent,
+                outcome: observed,
+                elapsed,
                 cold,
-                repeat,
-                flagged: false,
-                apart,
+                is_retry,
+                wrong_answer: false,
+                late_everywhere,
             },
             true,
         );
         if outcome == Outcome::Ok {
-            self.meter.handled += task.work;
-            let forward =
-                self.fig.forward_only && self.news.is_some_and(|news| news.build == build);
+            self.meter.completed_work += task.work;
+            let forward = self.params.forward_only
+                && self.rollout.is_some_and(|rollout| rollout.build == build);
             self.exposure
                 .forward_keys
                 .extend(task.key.filter(|_| forward));
         }
-        if task.erred && ran {
-            self.meter.again.add(outcome == Outcome::Error, LATELY);
+        if task.last_errored && ran {
+            self.meter
+                .repeated_errors
+                .add(outcome == Outcome::Error, RECENT_SAMPLES);
         }
-        (task.failed_on, task.erred) = (Some(unit), outcome == Outcome::Error);
-        task.ran = task.ran.or(ran.then_some((unit, sent)));
+        (task.failed_on, task.last_errored) = (Some(slot), outcome == Outcome::Error);
+        task.may_have_run = task.may_have_run.or(ran.then_some((slot, sent_at)));
         if !settled {
-            self.run_chain(task, act);
+            self.run_pipeline(task, actions);
         }
     }
 
-    /// Whether its track or tenant is late everywhere, others not: it proves nothing, and yields first.
-    fn is_apart(&self, task: &Task) -> bool {
+    /// Whether a task's track or tenant is late on all units while others are not. Such a task is no evidence about
+    /// units or builds, and is shed first.
+    fn is_late_everywhere(&self, task: &Task) -> bool {
         self.meter
-            .missing(task.track, task.tenant)
-            .any(|(own, best)| own > APART && best < own / 2.0)
+            .late_rates(task.track, task.tenant)
+            .any(|(own, best)| own > HIGH_FAILURE_SHARE && best < own / 2.0)
     }
 
-    fn watch_health(&mut self, ended: &Ended) {
-        let unit = &mut self.fleet.units[ended.unit];
-        // A task that failed elsewhere before may fail anywhere: no evidence about this unit.
-        let telling = |failed: &bool| !failed || !ended.repeat && !ended.apart;
-        let Some(failed) = ended.failed().filter(telling) else {
+    fn update_ejection(&mut self, report: &OutcomeReport) {
+        let unit = &mut self.fleet.units[report.unit];
+        // A task that failed elsewhere before may fail on any unit: its failure is no evidence about this one.
+        let is_evidence = |failed: &bool| !failed || !report.is_retry && !report.late_everywhere;
+        let Some(failed) = report.failed().filter(is_evidence) else {
             return;
         };
-        unit.recent.add(failed, LATELY / 2.0);
-        if matches!(ended.outcome, Outcome::Ok | Outcome::Error) {
-            unit.quiet_since = self.now;
+        unit.recent_outcomes.add(failed, RECENT_SAMPLES / 2.0);
+        if matches!(report.outcome, Outcome::Ok | Outcome::Error) {
+            unit.last_answer_at = self.now;
         }
         if !failed {
-            (unit.streak, unit.away_for) = (0, Duration::ZERO);
+            (unit.failure_streak, unit.ejected_for) = (0, Duration::ZERO);
             return;
         }
-        unit.streak += 1;
-        // What the whole fleet fails at is not the unit's fault.
-        let usual = TrackState::good_rate(&self.tracks);
-        let often = unit.recent.failures >= 4.0 && unit.recent.rate() > 0.2 + 1.5 * usual;
-        let streak = unit.streak >= STREAK && usual.powi(unit.streak as i32) < RARE;
-        if !(streak || often) || self.now < unit.away_until {
+        unit.failure_streak += 1;
+        // Failures that the whole fleet has are not the unit's fault.
+        let usual = TrackState::baseline_failure_rate(&self.tracks);
+        let often =
+            unit.recent_outcomes.failures >= 4.0 && unit.recent_outcomes.rate() > 0.2 + 1.5 * usual;
+        let streak = unit.failure_streak >= EJECTION_STREAK
+            && usual.powi(unit.failure_streak as i32) < MAX_STREAK_PROBABILITY;
+        if !(streak || often) || self.now < unit.ejected_until {
             return;
         }
-        // No more than a share of a build's units, as beyond that it is not they; but all that run nothing.
-        let of_build = || self.fleet.ready_of(self.fleet.units[ended.unit].build);
-        let aside = of_build().filter(|unit| self.now < unit.away_until).count() as f64;
-        let many = aside + 1.0 > ASIDE_SHARE * of_build().count() as f64;
-        if !many || ended.outcome == Outcome::ConnectFailed {
-            let unit = &mut self.fleet.units[ended.unit];
-            unit.away_for = (unit.away_for * 2).clamp(TICK * 10, TICK * 80);
-            unit.away_until = self.now + unit.away_for;
-            unit.recent = Tally::default();
+        // Where more than a share of a build's units fail, the cause is not in the units. Units that refuse connections
+        // run nothing, so any number of them may be ejected.
+        let of_build = || self.fleet.ready_of(self.fleet.units[report.unit].build);
+        let ejected = of_build()
+            .filter(|unit| self.now < unit.ejected_until)
+            .count() as f64;
+        let too_many = ejected + 1.0 > MAX_EJECTED_SHARE * of_build().count() as f64;
+        if !too_many || report.outcome == Outcome::ConnectFailed {
+            let unit = &mut self.fleet.units[report.unit];
+            unit.ejected_for = (unit.ejected_for * 2).clamp(TICK * 10, TICK * 80);
+            unit.ejected_until = self.now + unit.ejected_for;
+            unit.recent_outcomes = Tally::default();
         }
     }
 
-    fn learn_times(&mut self, ended: &Ended) {
-        // A time-out of a unit that still answers others shows load as a slow answer does.
-        let silent = self.fleet.units[ended.unit].streak >= STREAK;
-        if matches!(ended.outcome, Outcome::Ok | Outcome::TimeOut) && !silent && !ended.apart {
-            let part = 1.0 / (self.meter.keep / KEEP_FOR.as_secs_f64() / 2.0).max(20.0);
-            let quoted = self.tracks[ended.track.0].quoted; // however early its client gave up
-            let spent = if ended.outcome == Outcome::Ok {
-                ended.spent
+    fn update_latencies(&mut self, report: &OutcomeReport) {
+        // A time-out on a unit that still answers other tasks shows load, as a slow answer does.
+        let silent = self.fleet.units[report.unit].failure_streak >= EJECTION_STREAK;
+        if matches!(report.outcome, Outcome::Ok | Outcome::TimeOut)
+            && !silent
+            && !report.late_everywhere
+        {
+            let gain =
+                1.0 / (self.meter.baseline_window / BASELINE_SPAN.as_secs_f64() / 2.0).max(20.0);
+            // The quoted time of the track counts, however early the task's client gave up.
+            let quoted_time = self.tracks[report.track.0].quoted_time;
+            let elapsed = if report.outcome == Outcome::Ok {
+                report.elapsed
             } else {
-                quoted
+                quoted_time
             };
-            self.meter.answered(spent, quoted, part);
+            self.meter.record_latency(elapsed, quoted_time, gain);
         }
-        let Unit { build, kind, .. } = self.fleet.units[ended.unit];
-        if ended.outcome == Outcome::Ok && self.cap_of(build).is_none() {
-            let times = self.tracks[ended.track.0].times.entry(kind).or_default();
-            times.add(ended.spent, self.meter.keep as u32);
+        let Unit {
+            build,
+            machine_type,
+            ..
+        } = self.fleet.units[report.unit];
+        if report.outcome == Outcome::Ok && self.exposure_cap(build).is_none() {
+            let latencies = self.tracks[report.track.0]
+                .latencies
+                .entry(machine_type)
+                .or_default();
+            latencies.add(report.elapsed, self.meter.baseline_window as u32);
         }
     }
 
+    /// Notes that a unit has begun to answer a task: its dispatch is not cancelled any more.
     pub fn response_started(&mut self, id: &TaskId) {
         self.tasks
             .get_mut(id)
             .into_iter()
-            .for_each(|task| task.stream = true);
+            .for_each(|task| task.response_started = true);
     }
 
-    pub fn client_disconnected(&mut self, id: &TaskId, act: Act) {
+    /// Cancels the dispatch of a task whose client has left, where that is possible.
+    pub fn client_disconnected(&mut self, id: &TaskId, actions: DynActions) {
         let task = self
             .tasks
             .get(id)
-            .filter(|task| self.fig.may_cancel && !task.stream);
-        task.and_then(|task| task.out)
+            .filter(|task| self.params.may_cancel && !task.response_started);
+        task.and_then(|task| task.in_flight)
             .into_iter()
-            .for_each(|(dispatch, ..)| act.cancel(id, dispatch));
+            .for_each(|(dispatch, ..)| actions.cancel(id, dispatch));
     }
 
-    pub fn timer_fired(&mut self, _token: TimerId, act: Act) {
-        act.set_timer(TICK, TimerId(0));
+    /// Runs a tick: updates rates and sums, and sends a vote and the state for peers when these are due.
+    pub fn timer_fired(&mut self, _timer: TimerId, actions: DynActions) {
+        actions.set_timer(TICK, TimerId(0));
         self.ticks += 1;
-        self.measure();
-        self.run_cusum();
-        let fused = self.fuse();
-        self.judge.clear_since = if fused > 0.0 {
+        self.update_meter();
+        self.update_cusums();
+        let fused = self.fused_alarm();
+        self.detector.clear_since = if fused > 0.0 {
             self.now
         } else {
-            self.judge.clear_since
+            self.detector.clear_since
         };
-        self.cast(fused, act);
-        if (self.ticks + u64::from(self.fig.me.0)).is_multiple_of(TELL_EVERY) {
-            self.tell(act);
+        self.update_vote(fused, actions);
+        // Offset by the relay's number, so that relays do not all send at once.
+        if (self.ticks + u64::from(self.params.own_id.0)).is_multiple_of(PEER_STATE_INTERVAL_TICKS)
+        {
+            self.send_peer_state(actions);
         }
     }
 
-    fn measure(&mut self) {
-        self.rank();
-        self.meter.keep = KEEP.max(self.fleet_rate() * KEEP_FOR.as_secs_f64());
-        let near = self.fleet.ready().filter(|unit| unit.near);
-        let size: f64 = near.map(|unit| unit.nominal).sum();
+    fn update_meter(&mut self) {
+        self.rank_units();
+        self.meter.baseline_window =
+            MIN_BASELINE_WINDOW.max(self.fleet_arrival_rate() * BASELINE_SPAN.as_secs_f64());
+        let subset = self.fleet.ready().filter(|unit| unit.in_subset);
+        let capacity: f64 = subset.map(|unit| unit.capacity).sum();
         let count = self.fleet.ready().count().max(1) as f64;
         let meter = &mut self.meter;
-        meter.tick(TICK, 0.1, size.max(0.01), BORE_FOR);
+        meter.tick(TICK, 0.1, capacity.max(0.01), RATE_SPAN);
         meter
-            .rate
-            .add(std::mem::take(&mut meter.arrived), TICK, BORE_FOR);
-        // Little's law: open tasks that end in that part of their quoted times, or its part of two a unit.
-        let part = (count * 2.0 / f64::from(self.fig.relays)).max(1.0);
-        meter.limit = (meter.limit * 1.03 + 0.1 * part).min(count * 16.0);
-        if meter.time_ratio > BUSY_RATIO {
-            meter.limit = (meter.served_rate * BUSY_RATIO * meter.mean_quoted).max(part);
-            meter.busy_at = Some(self.now);
+            .arrival_rate
+            .add(std::mem::take(&mut meter.arrivals), TICK, RATE_SPAN);
+        // Under overload, Little's law gives the number in flight whose response time is the permitted part of the quoted
+        // time; at least this relay's part of two tasks per unit.
+        let part = (count * 2.0 / f64::from(self.params.relays)).max(1.0);
+        meter.in_flight_limit = (meter.in_flight_limit * 1.03 + 0.1 * part).min(count * 16.0);
+        if meter.latency_ratio > OVERLOAD_LATENCY_RATIO {
+            meter.in_flight_limit =
+                (meter.work_rate * OVERLOAD_LATENCY_RATIO * meter.mean_quoted_s).max(part);
+            meter.last_shed_at = Some(self.now);
         }
         if self
             .exposure
--- a/src/decide/vote.rs
+++ b/src/decide/vote.rs
@@ -1,147 +1,174 @@
-//! Which vote follows, and when it is cast.
+//! Votes to the platform: which vote this relay wants, and when it is cast.
 
 use super::*;
 
 impl Relay {
-    pub(super) fn is_busy(&self) -> bool {
-        !self.judge.busy_before && self.meter.shed_within(BUSY_FOR, self.now)
+    /// Whether load is shed that was not shed before the trial.
+    pub(super) fn is_newly_shedding(&self) -> bool {
+        !self.detector.shedding_before && self.meter.shed_within(SHEDDING_SPAN, self.now)
     }
 
-    /// Which vote this relay stands for, and whether the evidence is in: else it is one ahead of it.
-    pub(super) fn stance(&mut self, news: News, fused: f64) -> (Vote, bool) {
-        self.judge.on = self.may_go_on(news, fused);
-        match news.phase {
+    /// The vote that this relay wants, and whether the evidence for it is complete; a vote without that is cast ahead
+    /// of the evidence.
+    pub(super) fn wanted_vote(&mut self, rollout: RolloutState, fused: f64) -> (Vote, bool) {
+        self.detector.can_advance = self.may_advance(rollout, fused);
+        match rollout.phase {
             Phase::OnTrial | Phase::Released if fused >= ALARMS_M => return (Vote::Back, true),
             Phase::OnTrial => {}
             _ => return (Vote::Nothing, true),
         }
-        let fusers = || {
+        let judges = || {
             self.live_peers()
-                .filter(|peer| peer.stage == news.stage && peer.outcomes > 0)
+                .filter(|peer| peer.stage == rollout.stage && peer.outcomes > 0)
         };
-        let most = fusers().filter(|peer| peer.on).count() * 2 > fusers().count();
-        let on = if self.fig.fuses {
-            self.judge.on
+        let majority = judges().filter(|peer| peer.can_advance).count() * 2 > judges().count();
+        let can_advance = if self.params.is_judge {
+            self.detector.can_advance
         } else {
-            fused <= 0.0 && most
+            fused <= 0.0 && majority
         };
-        let vote = match self.fig.gate {
-            GateMode::Automatic if self.judge.bit => Vote::Hold,
-            GateMode::FirstVote if on && self.fig.me.0 < PROCEED_VOICES => Vote::On,
-            // Departure: a round of votes takes long: those without whom it is not one vote ahead of it.
-            GateMode::VoteCount if on || self.fig.turns.is_early() && self.is_unharmed(fused) => {
+        let vote = match self.params.gate {
+            GateMode::Automatic if self.detector.alarm => Vote::Hold,
+            GateMode::FirstVote if can_advance && self.params.own_id.0 < FIRST_VOTE_VOTERS => {
+                Vote::On
+            }
+            // Departure: where a round of votes takes long, relays whose votes alone do not move the build vote before
+            // the evidence is complete.
+            GateMode::VoteCount
+                if can_advance || self.params.turns.is_early() && self.is_free_of_alarms(fused) =>
+            {
                 Vote::On
             }
             _ => Vote::Nothing,
         };
-        (vote, on || vote == Vote::Hold)
+        (vote, can_advance || vote == Vote::Hold)
     }
 
-    pub(super) fn is_unharmed(&self, fused: f64) -> bool {
-        fused <= 0.0 && !self.judge.bit && self.worst().0 < CLEAR_NATS
+    /// Whether no relay has raised an alarm and this one sees no sign of harm.
+    pub(super) fn is_free_of_alarms(&self, fused: f64) -> bool {
+        fused <= 0.0 && !self.detector.alarm && self.max_sum().0 < CLEAR_SUM_NATS
     }
 
-    pub(super) fn may_go_on(&self, news: News, fused: f64) -> bool {
-        let trial = self.fleet.ready_of(news.build);
+    /// Whether, by this relay's own evidence, the build may advance to the next stage.
+    pub(super) fn may_advance(&self, rollout: RolloutState, fused: f64) -> bool {
+        let trial = self.fleet.ready_of(rollout.build);
         let youngest = trial
             .map(|unit| self.now.saturating_sub(unit.started.unwrap_or_default()))
             .min();
         let Some(youngest) = youngest else {
             return false;
         };
-        // Departure: a stage most of whose units the list does not show yet has shown nothing.
+        // Departure: a stage ends only once enough of its units are listed, as those that are not have shown nothing.
         let earlier = self
             .fleet
             .ready()
-            .filter(|unit| unit.build < news.build)
+            .filter(|unit| unit.build < rollout.build)
             .count();
         let (seen, share) = (
-            self.fleet.ready_of(news.build).count(),
-            self.fig.stage_shares.get(news.stage.0),
+            self.fleet.ready_of(rollout.build).count(),
+            self.params.stage_shares.get(rollout.stage.0),
         );
-        let places = if self.fig.replace {
+        let places = if self.params.in_place {
             earlier + seen
         } else {
             earlier.max(seen)
         } as f64;
-        if (seen as f64) < share.unwrap_or(&0.0) * places * LISTED {
+        if (seen as f64) < share.unwrap_or(&0.0) * places * MIN_LISTED_SHARE {
             return false;
         }
-        // Departure: the last stage, with the earlier units still standing by, is the cheap place to wait.
-        let last = news.stage.0 == self.fig.stage_caps.len().saturating_sub(1) && !self.fig.replace;
-        let wait = if last {
-            self.fig.warm_up + TICK * 10
+        // Departure: in the last stage before the release, waiting costs little, as the earlier units are still there.
+        // Every unit must have warmed up.
+        let last = rollout.stage.0 == self.params.stage_caps.len().saturating_sub(1)
+            && !self.params.in_place;
+        let min_age = if last {
+            self.params.warm_up + TICK * 10
         } else {
             Duration::ZERO
         };
-        // Departure: nothing goes on while tasks are shed, both are late, or what fails proves nothing.
-        let calm =
-            !self.is_busy() && self.judge.ambient < MIN_THRESHOLD_NATS || news.cap < SMALL_CAP;
+        // Departure: no stage ends while load is shed, both builds are late, or failures of the earlier build rise.
+        let calm = !self.is_newly_shedding()
+            && self.detector.baseline_lateness < MIN_THRESHOLD_NATS
+            || rollout.cap < SMALL_CAP;
         let calm = calm
             && self
-                .judge
-                .surge
+                .detector
+                .baseline_surge
                 .iter()
                 .all(|&surge| surge < MIN_THRESHOLD_NATS);
-        let clear = calm && fused <= 0.0 && self.worst().0 < CLEAR_NATS && youngest >= wait;
-        // Departure: the more the next stage exposes, the more outcomes it takes.
-        let next = *self.fig.stage_caps.get(news.stage.0 + 1).unwrap_or(&1.0);
-        let enough = f64::from(self.judge.outcomes) >= EVIDENCE * next;
-        clear && enough && self.now >= self.judge.clear_since + youngest.min(self.fig.warm_up)
+        let clear =
+            calm && fused <= 0.0 && self.max_sum().0 < CLEAR_SUM_NATS && youngest >= min_age;
+        // Departure: the higher the cap of the next stage, the more outcomes are needed.
+        let next_cap = *self
+            .params
+            .stage_caps
+            .get(rollout.stage.0 + 1)
+            .unwrap_or(&1.0);
+        let enough = f64::from(self.detector.outcomes) >= OUTCOMES_TO_ADVANCE * next_cap;
+        clear && enough && self.now >= self.detector.clear_since + youngest.min(self.params.warm_up)
     }
 
-    pub(super) fn cast(&mut self, fused: f64, act: Act) {
-        let Some(news) = self.news else { return };
-        let (vote, settled) = self.stance(news, fused);
-        // Where one voice is enough, hundreds need not speak; the platform takes so many votes of all.
-        let voices = if self.fig.gate == GateMode::FirstVote {
-            FUSERS
+    /// Casts the wanted vote if it is this relay's turn and the vote differs from the standing one, was not accepted, or
+    /// has to be renewed.
+    pub(super) fn update_vote(&mut self, fused: f64, actions: DynActions) {
+        let Some(rollout) = self.rollout else { return };
+        let (vote, settled) = self.wanted_vote(rollout, fused);
+        // Where one vote is enough, a few relays vote for all, as the platform takes only so many votes per second.
+        let voters = if self.params.gate == GateMode::FirstVote {
+            JUDGING_RELAYS
         } else {
-            self.fig.relays
+            self.params.relays
         };
         let wished = self
-            .voice
+            .ballot
             .wishes(Some(vote).filter(|&vote| vote != Vote::Nothing), self.now);
-        let (turns, life) = (&self.fig.turns, self.fig.vote_ttl);
-        let settled = self.voice.settles(settled, self.now, life);
+        let (turns, ttl) = (&self.params.turns, self.params.vote_ttl);
+        let settled = self.ballot.settles(settled, self.now, ttl);
         let turn = match vote {
             Vote::Back => turns.in_haste(wished),
             Vote::Nothing => turns.back(wished),
-            _ => turns.forward(self.judge.stage_at, news.stage.0 > 0, settled, life),
+            _ => turns.forward(
+                self.detector.stage_started_at,
+                rollout.stage.0 > 0,
+                settled,
+                ttl,
+            ),
         };
-        let ahead = vote == Vote::On && settled.is_none();
-        let renew = if ahead {
+        let ahead_of_evidence = vote == Vote::On && settled.is_none();
+        let renew = if ahead_of_evidence {
             Duration::MAX
         } else {
-            turns.renew(life, RENEW)
+            turns.renew(ttl, VOTE_RENEWAL_SHARE)
         };
-        let wait = self.fig.vote_timeout + TICK;
-        if self.fig.me.0 >= voices
+        let wait = self.params.vote_timeout + TICK;
+        if self.params.own_id.0 >= voters
             || !self
-                .voice
-                .is_due(turn, self.now, wait, turns.gap(voices, TICK * 2), renew)
+                .ballot
+                .is_due(turn, self.now, wait, turns.gap(voters, TICK * 2), renew)
         {
             return;
         }
-        if self.voice.said().unwrap_or(Vote::Nothing) != vote && self.fig.fuses {
-            act.log(&self.judge.line(news, vote, fused, self.worst()));
+        if self.ballot.said().unwrap_or(Vote::Nothing) != vote && self.params.is_judge {
+            actions.log(&self.detector.log_line(rollout, vote, fused, self.max_sum()));
         }
-        self.voice.calls(self.now);
-        act.vote(news.build, news.stage, vote);
+        self.ballot.calls(self.now);
+        actions.vote(rollout.build, rollout.stage, vote);
     }
 
-    pub fn discovery_failed(&self, act: Act) {
-        act.watch_units();
+    /// Follows the list of units again after the connection to discovery failed.
+    pub fn discovery_failed(&self, actions: DynActions) {
+        actions.watch_units();
     }
 
+    /// Takes the platform's answer to a vote.
     pub fn vote_answered(&mut self, outcome: Outcome) {
         let draw = self.rng.random();
         match outcome {
-            Outcome::Ok => self.voice.taken(),
-            Outcome::Moot => self.voice.refused(self.now, |_| self.fig.vote_ttl), // the news is on its way
+            Outcome::Ok => self.ballot.taken(),
+            // The build has moved on, so the vote is not cast again before the platform says where it stands.
+            Outcome::Moot => self.ballot.refused(self.now, |_| self.params.vote_ttl),
             _ => self
-                .voice
-                .refused(self.now, |times| self.fig.turns.again(times, draw)),
+                .ballot
+                .refused(self.now, |times| self.params.turns.again(times, draw)),
         }
     }
 }
--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -1,13 +1,14 @@
-//! Mechanical measures: a small histogram with coarse bins, a tally of failures, a sliding window. The first
-//! two are halved from time to time, so that they follow change.
+//! Measures without decisions: a histogram with coarse bins, a tally of failures, and a sliding window. The counts of the
+//! first two are halved from time to time, so that they follow changes. Used by [`crate::decide`] and
+//! `beechcroft-rollout`.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Bins grow by about 1.4 from 10 ms on; the last one takes all that is slower.
+/// Number of bins. They begin at 10 ms and grow by a factor of about 1.4; the last one takes all longer times.
 const BINS: usize = 20;
 
-/// Counts of times in coarse bins.
+/// Counts of durations in coarse bins.
 #[derive(Clone, Debug, Default)]
 pub struct Histogram {
     counts: [u32; BINS],
@@ -15,7 +16,7 @@
 }
 
 impl Histogram {
-    /// The bin that a time falls into.
+    /// The bin of a duration.
     pub fn bin(time: Duration) -> usize {
         let halves = (time.as_secs_f64() / 0.010).max(1.0).log2() * 2.0;
         (halves as usize).min(BINS - 1)
@@ -26,12 +27,12 @@
         Duration::from_secs_f64(0.010 * 2f64.powf((bin as f64 + 1.0) / 2.0))
     }
 
-    /// A time that falls into the bin.
+    /// The midpoint of a bin on the logarithmic scale.
     pub fn bin_midpoint(bin: usize) -> Duration {
         Duration::from_secs_f64(0.010 * 2f64.powf((bin.min(BINS) as f64 + 0.5) / 2.0))
     }
 
-    /// Counts one time; once `keep` of them are held, all counts are halved.
+    /// Counts one duration; once `keep` of them are held, all counts are halved.
     pub fn add(&mut self, time: Duration, keep: u32) {
         self.counts[Self::bin(time)] += 1;
         self.total += 1;
@@ -46,7 +47,7 @@
         &self.counts
     }
 
-    /// Adds another's counts, of the same bins.
+    /// Adds the counts of another histogram, by bin.
     pub fn merge(&mut self, counts: &[u32]) {
         for (held, more) in self.counts.iter_mut().zip(counts) {
             *held = held.saturating_add(*more);
@@ -57,12 +58,12 @@
             .fold(0, |sum, count| sum.saturating_add(*count));
     }
 
-    /// How many times are held.
+    /// The number of durations held.
     pub fn total(&self) -> u32 {
         self.total
     }
 
-    /// The lowest bin with no more than `share` of the times above it.
+    /// The lowest bin with no more than `share` of the durations above it.
     pub fn tail_bin(&self, share: f64) -> usize {
         let mut above = self.total;
         let lowest = self.counts.iter().position(|count| {
@@ -73,14 +74,17 @@
     }
 }
 
-/// Counts of trials and failures, halved once `keep` trials are held.
+/// Counts of trials and of the failures among them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
+    /// Trials.
     pub trials: f64,
+    /// Failures among them.
     pub failures: f64,
 }
 
 impl Tally {
+    /// Counts one trial; once `keep` of them are held, both counts are halved.
     pub fn add(&mut self, failed: bool, keep: f64) {
         self.trials += 1.0;
         self.failures += f64::from(u8::from(failed));
@@ -90,17 +94,18 @@
         }
     }
 
-    /// The share of failures, drawn towards 0 while few trials are held.
+    /// The share of failures, with 20 successes added so that it is low while few trials are held.
     pub fn rate(&self) -> f64 {
         self.failures / (self.trials + 20.0)
     }
 }
 
-/// Amounts of the last while: each time with the sum of all up to it, so that a sum costs a search and no walk.
+/// Amounts within a sliding window. Each time is kept with the cumulative sum up to it, so that the sum of a span takes
+/// a binary search.
 #[derive(Clone, Debug, Default)]
 pub struct Window {
     sums: VecDeque<(Duration, f64)>,
-    /// Of what was dropped.
+    /// The cumulative sum of what was dropped.
     before: f64,
 }
 
@@ -120,7 +125,7 @@
         self.sums.back().map_or(self.before, |&(_, sum)| sum)
     }
 
-    /// The sum of what came less than `span` ago.
+    /// The sum of the amounts added less than `span` ago.
     pub fn sum(&self, now: Duration, span: Duration) -> f64 {
         let old = self.sums.partition_point(|&(at, _)| at + span <= now);
         let before = old
@@ -129,14 +134,15 @@
         self.total() - before
     }
 
+    /// Drops all amounts.
     pub fn clear(&mut self) {
         *self = Window::default();
     }
 }
 
-/// By how much the `few` largest parts together exceed as many of the median one.
+/// How much the `few` largest parts together exceed as many parts of the median size.
 pub fn excess_over_median(mut parts: Vec<f64>, few: usize) -> f64 {
     parts.sort_by(|one, other| other.total_cmp(one));
-    let usual = parts.get(parts.len() / 2).copied().unwrap_or(0.0);
-    parts.iter().take(few).map(|part| part - usual).sum()
+    let median = parts.get(parts.len() / 2).copied().unwrap_or(0.0);
+    parts.iter().take(few).map(|part| part - median).sum()
 }
