--- a/crates/beechcroft-adapter/src/main.rs
+++ b/crates/beechcroft-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts one [`Relay`](beechcroft::decide::Relay) for each `who` of the bench's wire: framing, names and numbers, nothing else.
+//! Runs relays for the simulator: one [`Relay`](beechcroft::decide::Relay) for each `who` of its line protocol on standard
+//! input and output. Only decodes and encodes; all decisions are made in the relay.
 
 mod wire;
 
@@ -6,12 +7,13 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    std::panic::set_hook(Box::new(|_| {})); // a panic of the module is told on the wire as BUG
+    // A panic of a relay is reported on the wire as `BUG`, so nothing is printed here.
+    std::panic::set_hook(Box::new(|_| {}));
     let (input, output) = (io::stdin().lock(), io::stdout().lock());
     match wire::run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(complaint) => {
-            let _ = writeln!(io::stderr(), "{complaint}");
+        Err(error) => {
+            let _ = writeln!(io::stderr(), "{error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/beechcroft-adapter/src/wire.rs
+++ b/crates/beechcroft-adapter/src/wire.rs
@@ -1,4 +1,5 @@
-//! The bench's wire: lines in, calls to the module, actions out. Decoded fields go straight into calls.
+//! The simulator's line protocol. Each line is decoded into one call of a relay, whose actions are written as reply
+//! lines. Called by `main` with standard input and output.
 
 use beechcroft::decide::Relay;
 use beechcroft::*;
@@ -12,7 +13,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The parts of one line, found by name without copying.
+/// One line: the name of a message and its `field=value` pairs, which are looked up without copying.
 struct Line<'a> {
     name: &'a str,
     rest: &'a str,
@@ -49,8 +50,8 @@
             Err(format!("{field}: malformed '{value}'"))
         }
     }
-    /// A span; one below zero counts as zero.
-    fn span(&self, field: &str) -> Result<Duration, String> {
+    /// A duration in seconds; a negative one counts as zero.
+    fn duration(&self, field: &str) -> Result<Duration, String> {
         let value = self.real(field)?;
         Duration::try_from_secs_f64(value.max(0.0))
             .map_err(|_| format!("{field}: malformed '{value}'"))
@@ -81,14 +82,15 @@
             other => return Err(format!("verdict: malformed '{other}'")),
         })
     }
-    /// The place of a field's name among those of the settings, if it is one of them.
-    fn among(&self, field: &str, names: &[String]) -> Option<usize> {
+    /// The position of a field's value among the names of the settings, if it is one of them.
+    fn known_position(&self, field: &str, names: &[String]) -> Option<usize> {
         let text = self.get(field)?;
         names.iter().position(|name| name == text)
     }
+    /// The same; an unknown value is an error.
     fn position(&self, field: &str, names: &[String]) -> Result<usize, String> {
         let text = self.text(field)?;
-        self.among(field, names)
+        self.known_position(field, names)
             .ok_or_else(|| format!("{field}: unknown '{text}'"))
     }
     fn health(&self) -> Result<Health, String> {
@@ -99,8 +101,8 @@
             other => return Err(format!("health: malformed '{other}'")),
         })
     }
-    /// How many tasks the unit's load report says that it holds, if it came with one that says so.
-    fn held(&self) -> Result<Option<f64>, String> {
+    /// Number of tasks that the unit holds, if its load report states it as `rif`.
+    fn reported_load(&self) -> Result<Option<f64>, String> {
         let pairs = self
             .get("usage")
             .filter(|text| !text.is_empty() && *text != "-");
@@ -133,7 +135,7 @@
     }
 }
 
-/// Writes one instance's actions as reply lines.
+/// Writes the actions of one relay as reply lines.
 struct Reply<'a> {
     who: u32,
     out: &'a mut String,
@@ -146,7 +148,8 @@
     }
 }
 
-fn micros(span: Duration) -> f64 {
+/// Seconds, rounded down to microseconds.
+fn seconds(span: Duration) -> f64 {
     span.as_micros() as f64 / 1e6
 }
 
@@ -155,15 +158,15 @@
         self.line(format_args!(
             "ROUTE tid={} cap_s={} unit={}",
             task.0,
-            micros(time_out),
+            seconds(time_out),
             unit.0
         ));
     }
-    fn nack(&mut self, task: &TaskId, hold_off: Duration) {
+    fn nack(&mut self, task: &TaskId, retry_after: Duration) {
         self.line(format_args!(
             "DENY tid={} hold_off_s={}",
             task.0,
-            micros(hold_off)
+            seconds(retry_after)
         ));
     }
     fn terminate(&mut self, task: &TaskId) {
@@ -197,11 +200,11 @@
             build.0, stage.0
         ));
     }
-    fn set_timer(&mut self, after: Duration, token: TimerId) {
+    fn set_timer(&mut self, after: Duration, timer: TimerId) {
         self.line(format_args!(
             "WAKE_AT delay_s={} ref={}",
-            micros(after),
-            token.0
+            seconds(after),
+            timer.0
         ));
     }
     fn watch_units(&mut self) {
@@ -212,23 +215,29 @@
     }
 }
 
-/// One line of a list, kept as text until an instance is told of it.
+/// The entries of a list, kept as text until a relay is sent the list.
 type Roster = Vec<String>;
 
+/// One relay, with the names of its settings.
 struct Instance {
     relay: Relay,
     names: Named,
 }
 
+/// All relays that the simulator has started.
 #[derive(Default)]
 struct Host {
+    /// Time of the current batch.
     now: Duration,
+    /// Lists of units, by the simulator's number.
     rosters: BTreeMap<u8, Roster>,
+    /// Relays, by the simulator's number.
     instances: BTreeMap<u32, Instance>,
+    /// Replies to the current batch.
     out: String,
 }
 
-/// Reads batches until the input ends; the error names the line, the message and the field.
+/// Answers batches until the input ends. An error names the line, the message and the field.
 pub fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut host = Host::default();
     let (mut text, mut number, mut in_batch) = (String::new(), 0u64, false);
@@ -246,12 +255,12 @@
         let content = text.trim_end_matches(['\n', '\r']);
         let (name, rest) = content.split_once(' ').unwrap_or((content, ""));
         let line = Line { name, rest };
-        let blame = |what: String| format!("line {number}: {name}: {what}");
+        let located = |what: String| format!("line {number}: {name}: {what}");
         if let Some((roster, left)) = pending {
             if name != "M" {
-                return Err(blame(format!("entries: {left} more expected")));
+                return Err(located(format!("entries: {left} more expected")));
             }
-            host.check_entry(&line).map_err(blame)?;
+            host.check_entry(&line).map_err(located)?;
             host.rosters
                 .entry(roster)
                 .or_default()
@@ -262,7 +271,7 @@
         match (name, in_batch) {
             ("", false) => {}
             ("FRAME", false) => {
-                host.now = line.span("moment_s").map_err(blame)?;
+                host.now = line.duration("moment_s").map_err(located)?;
                 in_batch = true;
             }
             ("GO", true) => {
@@ -271,23 +280,24 @@
                 let sent = output
                     .write_all(host.out.as_bytes())
                     .and_then(|()| output.flush());
-                sent.map_err(|error| blame(error.to_string()))?;
+                sent.map_err(|error| located(error.to_string()))?;
                 host.out.clear();
             }
             ("MANIFEST", true) => {
-                let roster: u8 = line.num("roster_id").map_err(blame)?;
-                let entries: usize = line.num("entries").map_err(blame)?;
+                let roster: u8 = line.num("roster_id").map_err(located)?;
+                let entries: usize = line.num("entries").map_err(located)?;
                 host.rosters
                     .insert(roster, Vec::with_capacity(entries.min(4096)));
                 pending = (entries > 0).then_some((roster, entries));
             }
-            (_, true) => host.event(&line).map_err(blame)?,
-            (_, false) => return Err(blame("outside a batch".to_owned())),
+            (_, true) => host.event(&line).map_err(located)?,
+            (_, false) => return Err(located("outside a batch".to_owned())),
         }
     }
 }
 
 impl Host {
+    /// Checks an entry of a list, so that a malformed one is reported with its own line.
     fn check_entry(&self, line: &Line) -> Result<(), String> {
         line.unit()?;
         line.num::<f64>("runs")?;
@@ -297,6 +307,7 @@
         line.health().map(drop)
     }
 
+    /// Passes a message to its relay. A panic there ends that relay only, and is reported as `BUG`.
     fn event(&mut self, line: &Line) -> Result<(), String> {
         let known = [
             "BOOT",
@@ -323,9 +334,9 @@
         }
         let start = self.out.len();
         let mut instances = std::mem::take(&mut self.instances);
-        let told = catch_unwind(AssertUnwindSafe(|| self.tell(who, line, &mut instances)));
+        let result = catch_unwind(AssertUnwindSafe(|| self.deliver(who, line, &mut instances)));
         self.instances = instances;
-        told.unwrap_or_else(|panic| {
+        result.unwrap_or_else(|panic| {
             let text = panic.downcast_ref::<String>().map(String::as_str);
             let text = text
                 .or(panic.downcast_ref::<&str>().copied())
@@ -337,26 +348,26 @@
         })
     }
 
-    fn tell(
+    fn deliver(
         &mut self,
         who: u32,
         line: &Line,
-        all: &mut BTreeMap<u32, Instance>,
+        instances: &mut BTreeMap<u32, Instance>,
     ) -> Result<(), String> {
-        let act = &mut Reply {
+        let actions = &mut Reply {
             who,
             out: &mut self.out,
         };
         if line.name == "BOOT" {
-            let salt: i128 = line.num("salt")?;
+            let seed: i128 = line.num("salt")?;
             let at = line.rest.find("params=").ok_or("params: missing")?;
             let names = beechcroft_settings::read(&line.rest[at + "params=".len()..])
                 .map_err(|what| format!("params{what}"))?;
-            let relay = Relay::start(&names.settings, salt as u64, self.now, act);
-            all.insert(who, Instance { relay, names });
+            let relay = Relay::start(&names.settings, seed as u64, self.now, actions);
+            instances.insert(who, Instance { relay, names });
             return Ok(());
         }
-        let Instance { relay, names } = all.get_mut(&who).ok_or("who: not started")?;
+        let Instance { relay, names } = instances.get_mut(&who).ok_or("who: not started")?;
         relay.set_time(self.now);
         match line.name {
             "TARGETS" => {
@@ -365,7 +376,7 @@
                     "whole" | "stale_copy" => true,
                     "patch" => false,
                     "broken" => {
-                        relay.discovery_failed(act);
+                        relay.discovery_failed(actions);
                         return Ok(());
                     }
                     other => return Err(format!("scope: malformed '{other}'")),
@@ -379,8 +390,8 @@
                     relay.fleet_mut().update_unit(
                         entry.unit()?,
                         BuildId(entry.num::<f64>("runs")? as u16),
-                        entry.among("zone", &names.zones).map(ZoneId),
-                        MachineTypeId(entry.among("type", &names.kinds).unwrap_or(0)),
+                        entry.known_position("zone", &names.zones).map(ZoneId),
+                        MachineTypeId(entry.known_position("type", &names.kinds).unwrap_or(0)),
                         CellId(entry.opt("pod")?.unwrap_or(0)),
                         entry.health()?,
                         entry.opt("nominal")?.unwrap_or(1.0),
@@ -400,35 +411,38 @@
                     TrackId(line.position("band", &names.tracks)?),
                     tenant,
                     line.opt("route_key")?.map(Key),
-                    line.span("left_s")?,
+                    line.duration("left_s")?,
                     work.and_then(|work| Duration::try_from_secs_f64(work).ok()),
-                    act,
+                    actions,
                 );
             }
             "HEADERS" => {
-                line.span("spent_s")?;
+                line.duration("spent_s")?;
                 line.unit()?;
                 line.num::<u32>("trial")?;
                 relay.response_started(&line.task()?);
             }
             "REPORT_BACK" => {
                 line.unit()?;
-                let held = line.held()?;
+                let load = line.reported_load()?;
                 let (dispatch, outcome) = (DispatchNo(line.num("trial")?), line.outcome()?);
-                let (spent, settled, id) =
-                    (line.span("spent_s")?, line.flag("settled")?, line.task()?);
-                held.into_iter()
-                    .for_each(|held| relay.load_reported(&id, dispatch, held));
-                relay.dispatch_ended(&id, dispatch, outcome, spent, settled, act);
+                let (elapsed, settled, id) = (
+                    line.duration("spent_s")?,
+                    line.flag("settled")?,
+                    line.task()?,
+                );
+                load.into_iter()
+                    .for_each(|load| relay.load_reported(&id, dispatch, load));
+                relay.dispatch_ended(&id, dispatch, outcome, elapsed, settled, actions);
             }
-            "CLIENT_LEFT" => relay.client_disconnected(&line.task()?, act),
-            "FIRED" => relay.timer_fired(TimerId(line.num("ref")?), act),
-            // The module asks for no probes and needs no tallies yet; they are only checked.
+            "CLIENT_LEFT" => relay.client_disconnected(&line.task()?, actions),
+            "FIRED" => relay.timer_fired(TimerId(line.num("ref")?), actions),
+            // The relay asks for no probes, so their results are only checked.
             "ECHO" => {
                 line.unit()?;
                 line.outcome()?;
-                line.span("spent_s")?;
-                line.held()?;
+                line.duration("spent_s")?;
+                line.reported_load()?;
             }
             "NOTE_FROM" => {
                 relay.peer_message_received(PeerId(line.num("sender")?), &line.payload()?)
@@ -441,18 +455,19 @@
                     Some(3) => Phase::Withdrawn,
                     Some(other) => return Err(format!("where_at: malformed '{other}'")),
                 };
-                let outcome = line.outcome()?; // unless it is ok, the other fields are void
-                let answer = line.num::<u8>("code")? == 1;
+                // If it is not ok, the other fields are void.
+                let outcome = line.outcome()?;
+                let is_answer = line.num::<u8>("code")? == 1;
                 if outcome == Outcome::Ok {
                     relay.rollout_updated(
                         BuildId(line.num("ver")?),
                         Stage(line.num("wave")?),
                         phase,
                         line.real("allowed")?,
-                        act,
+                        actions,
                     );
                 }
-                if answer {
+                if is_answer {
                     relay.vote_answered(outcome);
                 }
             }
@@ -463,7 +478,7 @@
                 line.real("not_ok")?;
             }
             "COMPLAINT" => {
-                line.span("since_s")?;
+                line.duration("since_s")?;
                 let track = TrackId(line.position("band", &names.tracks)?);
                 relay.complaint_received(&line.unit()?, track);
             }
--- a/crates/beechcroft-core/src/actor.rs
+++ b/crates/beechcroft-core/src/actor.rs
@@ -1,5 +1,5 @@
-//! The module's actor, the only owner of [`Relay`]: events come in by one mailbox in the order of their arrival,
-//! actions go out to the carrier. It decides nothing.
+//! The actor that owns the [`Relay`]: it takes events from one mailbox in the order of their arrival and passes the
+//! relay's actions to an [`Outbound`]. It makes no decisions itself.
 
 use crate::list::UnitList;
 use crate::request::TaskAnswer;
@@ -16,7 +16,8 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::{info, warn};
 
-/// The module's clock: Unix time at start, then monotonic, so that it fits the list's and never goes back.
+/// The relay's clock: Unix time at start, monotonic from then on, so that it compares with times in the list and never
+/// goes back.
 #[derive(Clone, Copy)]
 pub struct Clock {
     began: Instant,
@@ -24,6 +25,7 @@
 }
 
 impl Clock {
+    /// A clock that starts now.
     pub fn start() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -34,31 +36,31 @@
         }
     }
 
-    fn at(&self, instant: Instant) -> Duration {
+    fn time_at(&self, instant: Instant) -> Duration {
         self.unix + instant.duration_since(self.began)
     }
 }
 
-/// What the module acts through.
-struct Hands<C: Outbound> {
+/// The actor's state except for the relay, which acts on it.
+struct ActorState<C: Outbound> {
     outbound: C,
-    /// Its own, which it must not keep open.
+    /// The actor's own mailbox; weak, so that it does not keep the actor running.
     mailbox: mpsc::WeakUnboundedSender<Event>,
-    known: HashMap<UnitId, C::Unit>,
+    units: HashMap<UnitId, C::Unit>,
     tasks: OpenTasks<C::Unit>,
     timers: Timers,
-    /// The time of the event at hand.
+    /// Time of the current event.
     now: Instant,
 }
 
-impl<C: Outbound> Actions for Hands<C> {
+impl<C: Outbound> Actions for ActorState<C> {
     fn dispatch(&mut self, task: &TaskId, unit: &UnitId, time_out: Duration) {
-        let (task, known) = (task.clone(), self.known.get(unit));
-        let Some((number, request)) = self.tasks.record_dispatch(&task, known) else {
+        let (task, handle) = (task.clone(), self.units.get(unit));
+        let Some((number, request)) = self.tasks.record_dispatch(&task, handle) else {
             return;
         };
-        match known {
-            Some(unit) => {
+        match handle {
+            Some(handle) => {
                 let dispatch = Dispatch {
                     task,
                     number,
@@ -66,7 +68,7 @@
                     sent_at: self.now,
                     time_out,
                 };
-                self.outbound.send(unit, UnitCommand::Dispatch(dispatch));
+                self.outbound.send(handle, UnitCommand::Dispatch(dispatch));
             }
             None => {
                 warn!(task = %task.0, unit = %unit.0, "dispatch of {} to {}, which is not listed", task.0, unit.0);
@@ -85,8 +87,8 @@
             }
         }
     }
-    fn nack(&mut self, task: &TaskId, hold_off: Duration) {
-        self.tasks.answer(task, TaskAnswer::Nacked(hold_off));
+    fn nack(&mut self, task: &TaskId, retry_after: Duration) {
+        self.tasks.answer(task, TaskAnswer::Nacked(retry_after));
     }
     fn terminate(&mut self, task: &TaskId) {
         self.tasks.answer(task, TaskAnswer::Terminated);
@@ -103,8 +105,8 @@
     fn vote(&mut self, build: BuildId, stage: Stage, vote: Vote) {
         self.outbound.cast_vote(Ballot { build, stage, vote });
     }
-    fn set_timer(&mut self, after: Duration, token: TimerId) {
-        self.timers.add(self.now + after, token);
+    fn set_timer(&mut self, after: Duration, timer: TimerId) {
+        self.timers.add(self.now + after, timer);
     }
     fn watch_units(&mut self) {
         self.outbound.watch_units();
@@ -114,14 +116,15 @@
     }
 }
 
+/// Runs one relay on the events of its mailbox.
 pub struct RelayActor<C: Outbound> {
     relay: Relay,
     clock: Clock,
-    hands: Hands<C>,
+    actions: ActorState<C>,
 }
 
 impl<C: Outbound> RelayActor<C> {
-    /// `mailbox` is the one whose events it will run on.
+    /// Starts a relay. `mailbox` must be the sender of the events that [`RelayActor::run`] receives.
     pub fn start(
         settings: &Settings,
         seed: u64,
@@ -129,35 +132,35 @@
         outbound: C,
         mailbox: Mailbox,
     ) -> RelayActor<C> {
-        let mut hands = Hands {
+        let mut actions = ActorState {
             outbound,
             mailbox: mailbox.downgrade(),
-            known: HashMap::new(),
+            units: HashMap::new(),
             tasks: OpenTasks::default(),
             timers: Timers::default(),
             now: Instant::now(),
         };
-        let relay = Relay::start(settings, seed, clock.at(hands.now), &mut hands);
+        let relay = Relay::start(settings, seed, clock.time_at(actions.now), &mut actions);
         RelayActor {
             relay,
             clock,
-            hands,
+            actions,
         }
     }
 
-    /// Until nobody is left who could tell it anything.
+    /// Runs until every sender of the mailbox is gone.
     pub async fn run(mut self, mut events: mpsc::UnboundedReceiver<Event>) {
         loop {
-            self.wake();
+            self.fire_timers();
             let next = self
-                .hands
+                .actions
                 .timers
                 .next()
                 .unwrap_or_else(|| Instant::now() + Duration::from_secs(1));
             tokio::select! {
                 biased;
                 event = events.recv() => match event {
-                    Some(event) => self.event(event),
+                    Some(event) => self.handle_event(event),
                     None => return,
                 },
                 () = sleep_until(next) => {}
@@ -165,27 +168,27 @@
         }
     }
 
-    fn tick(&mut self) {
-        self.hands.now = Instant::now();
-        self.relay.set_time(self.clock.at(self.hands.now));
+    fn update_time(&mut self) {
+        self.actions.now = Instant::now();
+        self.relay.set_time(self.clock.time_at(self.actions.now));
     }
 
-    fn wake(&mut self) {
+    fn fire_timers(&mut self) {
         let now = Instant::now();
-        while let Some(token) = self.hands.timers.take_due(now) {
-            self.tick();
-            self.relay.timer_fired(token, &mut self.hands);
+        while let Some(timer) = self.actions.timers.take_due(now) {
+            self.update_time();
+            self.relay.timer_fired(timer, &mut self.actions);
         }
     }
 
-    fn event(&mut self, event: Event) {
-        self.tick();
-        let RelayActor { relay, hands, .. } = self;
+    fn handle_event(&mut self, event: Event) {
+        self.update_time();
+        let RelayActor { relay, actions, .. } = self;
         match event {
-            Event::Task(taken) => {
-                let (id, track, hints) = (taken.id.clone(), taken.track, taken.hints);
-                let left = taken.deadline.saturating_duration_since(hands.now);
-                match hands.tasks.insert(taken) {
+            Event::Task(task) => {
+                let (id, track, hints) = (task.id.clone(), task.track, task.hints);
+                let left = task.deadline.saturating_duration_since(actions.now);
+                match actions.tasks.insert(task) {
                     Ok(()) => relay.task_received(
                         id,
                         track,
@@ -193,16 +196,16 @@
                         hints.key,
                         left,
                         hints.work,
-                        hands,
+                        actions,
                     ),
-                    Err(twin) => {
-                        warn!(task = %twin.id.0, "task {} is open already, the second was not taken", twin.id.0)
+                    Err(duplicate) => {
+                        warn!(task = %duplicate.id.0, "task {} is open already, the second was not taken", duplicate.id.0)
                     }
                 }
             }
             Event::ClientDisconnected(task) => {
-                if hands.tasks.client_disconnected(&task) {
-                    relay.client_disconnected(&task, hands);
+                if actions.tasks.client_disconnected(&task) {
+                    relay.client_disconnected(&task, actions);
                 }
             }
             Event::DispatchEnded(DispatchResult {
@@ -217,24 +220,26 @@
                     .into_iter()
                     .for_each(|load| relay.load_reported(&task, number, load));
                 if let Some(response) = response {
-                    hands.tasks.answer(&task, TaskAnswer::Handled(response));
+                    actions.tasks.answer(&task, TaskAnswer::Handled(response));
                 }
-                let settled = hands.tasks.dispatch_ended(&task, number);
-                relay.dispatch_ended(&task, number, outcome, elapsed, settled, hands);
+                let settled = actions.tasks.dispatch_ended(&task, number);
+                relay.dispatch_ended(&task, number, outcome, elapsed, settled, actions);
             }
-            Event::UnitList(list) => self.list(list),
-            Event::DiscoveryFailed => relay.discovery_failed(hands),
-            Event::Rollout(news) => self.news(news),
-            Event::VoteAnswered(outcome, news) => {
-                news.into_iter().for_each(|news| self.news(news));
+            Event::UnitList(list) => self.update_list(list),
+            Event::DiscoveryFailed => relay.discovery_failed(actions),
+            Event::Rollout(rollout) => self.update_rollout(rollout),
+            Event::VoteAnswered(outcome, rollout) => {
+                rollout
+                    .into_iter()
+                    .for_each(|rollout| self.update_rollout(rollout));
                 self.relay.vote_answered(outcome);
             }
             Event::Complaint(unit, track) => relay.complaint_received(&unit, track),
-            Event::PeerMessage(from, note) => relay.peer_message_received(from, &note),
+            Event::PeerMessage(from, message) => relay.peer_message_received(from, &message),
         }
     }
 
-    fn news(
+    fn update_rollout(
         &mut self,
         RolloutState {
             build,
@@ -244,34 +249,36 @@
         }: RolloutState,
     ) {
         self.relay
-            .rollout_updated(build, stage, phase, cap, &mut self.hands);
+            .rollout_updated(build, stage, phase, cap, &mut self.actions);
     }
 
-    /// Tells the module of the list, and each unit's actor of its own entry.
-    fn list(&mut self, list: UnitList) {
+    /// Passes the list to the relay, and each unit's endpoint to its connections.
+    fn update_list(&mut self, list: UnitList) {
         let fleet = self.relay.fleet_mut();
         fleet.begin_update(list.is_snapshot);
-        let mut before = if list.is_snapshot {
-            std::mem::take(&mut self.hands.known)
+        let mut previous = if list.is_snapshot {
+            std::mem::take(&mut self.actions.units)
         } else {
             HashMap::new()
         };
         for entry in list.entries {
-            let known = before
+            let handle = previous
                 .remove(&entry.unit)
-                .or_else(|| self.hands.known.remove(&entry.unit));
-            match (known, entry.health) {
-                (Some(unit), Health::Gone) => self.hands.outbound.send(&unit, UnitCommand::Remove),
+                .or_else(|| self.actions.units.remove(&entry.unit));
+            match (handle, entry.health) {
+                (Some(unit), Health::Gone) => {
+                    self.actions.outbound.send(&unit, UnitCommand::Remove)
+                }
                 (None, Health::Gone) => {}
                 (Some(unit), _) => {
-                    self.hands
+                    self.actions
                         .outbound
                         .send(&unit, UnitCommand::UpdateEndpoint(entry.endpoint));
-                    self.hands.known.insert(entry.unit.clone(), unit);
+                    self.actions.units.insert(entry.unit.clone(), unit);
                 }
                 (None, _) => {
-                    let unit = self.hands.outbound.add_unit(entry.endpoint);
-                    self.hands.known.insert(entry.unit.clone(), unit);
+                    let unit = self.actions.outbound.add_unit(entry.endpoint);
+                    self.actions.units.insert(entry.unit.clone(), unit);
                 }
             }
             fleet.update_unit(
@@ -286,9 +293,9 @@
             );
         }
         fleet.finish_update();
-        // What a whole list leaves out is gone.
-        before
+        // Units that a complete list leaves out are gone.
+        previous
             .into_values()
-            .for_each(|unit| self.hands.outbound.send(&unit, UnitCommand::Remove));
+            .for_each(|unit| self.actions.outbound.send(&unit, UnitCommand::Remove));
     }
 }
--- a/crates/beechcroft-core/src/tasks.rs
+++ b/crates/beechcroft-core/src/tasks.rs
@@ -1,4 +1,5 @@
-//! Open tasks: who waits for the answer, and what is out. A task is kept until it is answered and nothing is out.
+//! Open tasks: who waits for the answer, and which dispatch is in flight. A task is kept until it is answered and has no
+//! dispatch in flight.
 
 use crate::request::{TaskAnswer, TaskRequest};
 use beechcroft::{DispatchNo, TaskId, TrackId};
@@ -7,33 +8,43 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A task as the clients' side hands it over.
+/// A task that a client has sent.
 pub struct NewTask {
+    /// Its id.
     pub id: TaskId,
+    /// Its track.
     pub track: TrackId,
+    /// What the client tells about it.
     pub hints: Hints,
+    /// When the client gives up.
     pub deadline: Instant,
+    /// The request to forward.
     pub request: Arc<TaskRequest>,
+    /// Where the client waits for the answer.
     pub answer: oneshot::Sender<TaskAnswer>,
 }
 
-/// Further figures that a task may carry.
+/// Optional attributes of a task, from `X-Labels`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Hints {
+    /// The tenant that sent it.
     pub tenant: Option<beechcroft::TenantId>,
+    /// What it is about.
     pub key: Option<beechcroft::Key>,
+    /// The client's estimate of its work.
     pub work: Option<std::time::Duration>,
 }
 
-struct Open<U> {
+struct OpenTask<U> {
     request: Arc<TaskRequest>,
+    /// Taken once the task is answered or its client has left.
     answer: Option<oneshot::Sender<TaskAnswer>>,
-    tries: u32,
-    out: Option<(DispatchNo, Option<U>)>,
+    dispatches: u32,
+    in_flight: Option<(DispatchNo, Option<U>)>,
 }
 
-/// Units are held as `U`, what a dispatch is handed to.
-pub struct OpenTasks<U>(HashMap<TaskId, Open<U>>);
+/// All open tasks. `U` is the handle of a unit that dispatches are sent to.
+pub struct OpenTasks<U>(HashMap<TaskId, OpenTask<U>>);
 
 impl<U> Default for OpenTasks<U> {
     fn default() -> OpenTasks<U> {
@@ -42,76 +53,78 @@
 }
 
 impl<U: Clone> OpenTasks<U> {
-    /// Takes a task; an id that is still open hands the task back.
-    pub fn insert(&mut self, taken: NewTask) -> Result<(), NewTask> {
-        if self.0.contains_key(&taken.id) {
-            return Err(taken);
+    /// Adds a task. If one with the same id is open, the task is handed back.
+    pub fn insert(&mut self, new: NewTask) -> Result<(), NewTask> {
+        if self.0.contains_key(&new.id) {
+            return Err(new);
         }
-        let open = Open {
-            request: taken.request,
-            answer: Some(taken.answer),
-            tries: 0,
-            out: None,
+        let open = OpenTask {
+            request: new.request,
+            answer: Some(new.answer),
+            dispatches: 0,
+            in_flight: None,
         };
-        self.0.insert(taken.id, open);
+        self.0.insert(new.id, open);
         Ok(())
     }
 
-    /// Counts a dispatch of a task that is not yet answered; gives its number and what to send.
+    /// Counts a dispatch of a task that is not answered yet; returns its number and the request to send.
     pub fn record_dispatch(
         &mut self,
         id: &TaskId,
-        to: Option<&U>,
+        unit: Option<&U>,
     ) -> Option<(DispatchNo, Arc<TaskRequest>)> {
         let open = self.0.get_mut(id).filter(|open| open.answer.is_some())?;
-        let no = DispatchNo(open.tries);
-        open.tries += 1;
-        open.out = Some((no, to.cloned()));
-        Some((no, open.request.clone()))
+        let dispatch = DispatchNo(open.dispatches);
+        open.dispatches += 1;
+        open.in_flight = Some((dispatch, unit.cloned()));
+        Some((dispatch, open.request.clone()))
     }
 
-    /// Gives the final answer; a second one finds nobody.
+    /// Gives the final answer; a second answer has no effect.
     pub fn answer(&mut self, id: &TaskId, answer: TaskAnswer) {
-        if let Some(waiting) = self.0.get_mut(id).and_then(|open| open.answer.take()) {
-            let _ = waiting.send(answer); // a client that left this moment is told of by itself
+        if let Some(client) = self.0.get_mut(id).and_then(|open| open.answer.take()) {
+            // Fails if the client has just left; that comes as an event of its own.
+            let _ = client.send(answer);
         }
-        self.forget_if_done(id);
+        self.remove_if_done(id);
     }
 
-    /// A client that waited for this id left; whether it was the task's own, and not one that asked for an open
-    /// id. No answer is owed any more.
+    /// Notes that a client that waited for this id has left. Returns whether it was the task's own client, not one whose
+    /// task was rejected because the id was open. The task's own client gets no answer any more.
     pub fn client_disconnected(&mut self, id: &TaskId) -> bool {
         let Some(open) = self.0.get_mut(id) else {
             return false;
         };
         let own = open.answer.take_if(|answer| answer.is_closed()).is_some();
-        self.forget_if_done(id);
+        self.remove_if_done(id);
         own
     }
 
-    /// A dispatch ended; whether the task is settled.
-    pub fn dispatch_ended(&mut self, id: &TaskId, no: DispatchNo) -> bool {
+    /// Notes the end of a dispatch; returns whether the task is settled: answered, or its client gone.
+    pub fn dispatch_ended(&mut self, id: &TaskId, dispatch: DispatchNo) -> bool {
         let Some(open) = self.0.get_mut(id) else {
             return true;
         };
-        open.out.take_if(|(out, _)| *out == no);
+        open.in_flight.take_if(|(number, _)| *number == dispatch);
         let settled = open.answer.is_none();
-        self.forget_if_done(id);
+        self.remove_if_done(id);
         settled
     }
 
-    /// Where a dispatch is out.
-    pub fn dispatched_to(&self, id: &TaskId, no: DispatchNo) -> Option<&U> {
-        let out = self.0.get(id)?.out.as_ref();
-        out.filter(|(out, _)| *out == no)
+    /// The unit that a dispatch in flight was sent to.
+    pub fn dispatched_to(&self, id: &TaskId, dispatch: DispatchNo) -> Option<&U> {
+        let in_flight = self.0.get(id)?.in_flight.as_ref();
+        in_flight
+            .filter(|(number, _)| *number == dispatch)
             .and_then(|(_, unit)| unit.as_ref())
     }
 
-    fn forget_if_done(&mut self, id: &TaskId) {
+    fn remove_if_done(&mut self, id: &TaskId) {
         if self
             .0
             .get(id)
-            .is_some_and(|open| open.answer.is_none() && open.out.is_none())
+            .is_some_and(|open| open.answer.is_none() && open.in_flight.is_none())
         {
             self.0.remove(id);
         }
