--- a/crates/beechcroft-control/src/api.rs
+++ b/crates/beechcroft-control/src/api.rs
@@ -1,4 +1,4 @@
-//! The calls of units and the operator.
+//! HTTP API for units and the operator.
 
 use crate::state_owner::{ask_owner, Command, CommandQueue};
 use beechcroft_config::Config;
@@ -12,14 +12,15 @@
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 
-/// How far the clocks of control nodes may differ for a repeat to be recognised by the time of day, in milliseconds.
+/// Maximum difference between the clocks of two control nodes at which a repeated request is still recognised by its
+/// time of day, in milliseconds.
 pub const MAX_CLOCK_SKEW_MS: u64 = 2000;
-/// The longest warm-up that a heartbeat may state, in milliseconds.
+/// Upper bound to which the warm-up in a heartbeat is clamped, in milliseconds.
 const MAX_WARMUP_MS: f64 = 1e9;
-/// The longest ramp that a rollout may state, in seconds.
+/// Upper bound to which the ramp of a rollout is clamped, in seconds.
 const MAX_RAMP_S: f64 = 1e6;
 
-/// The body of a heartbeat.
+/// JSON body of a heartbeat.
 #[derive(Deserialize)]
 struct HeartbeatBody {
     address: SocketAddrV4,
@@ -50,7 +51,10 @@
         let state = match self.status.state.as_str() {
             "ready" => EndpointState::Ready,
             "draining" => EndpointState::Draining,
-            other => return Err(invalid(format!("state `{other}`"))),
+            other => {
+                let detail = format!("status.state: `{other}` is neither `ready` nor `draining`");
+                return Err(invalid(detail));
+            }
         };
         Ok(EndpointRecord {
             id,
@@ -67,7 +71,7 @@
     }
 }
 
-/// The body of a call that begins a rollout.
+/// JSON body of a call that begins a rollout.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct RolloutBody {
@@ -77,6 +81,7 @@
     ramp_s: f64,
 }
 
+/// An error that rejects a malformed request.
 pub(crate) fn invalid(e: impl std::fmt::Display) -> Error {
     Error::new(ErrorKind::Invalid, e.to_string())
 }
@@ -85,19 +90,19 @@
     Response::json("{}")
 }
 
-/// What the calls of units and the operator are handled with.
+/// Handler for the calls of units and the operator.
 #[derive(Clone)]
 pub struct ControlApi {
-    /// The state owner's queue.
+    /// Queue of the state owner that carries out the calls.
     pub queue: CommandQueue,
-    /// The clock.
+    /// Source of the time of day that rollouts are stamped with.
     pub runtime: Runtime,
-    /// The same rollout requested again within so long is a repeat, in milliseconds.
+    /// Time within which a second request for the same rollout counts as a repeat, in milliseconds.
     pub repeat_ms: u64,
 }
 
 impl ControlApi {
-    /// Handles a call.
+    /// Handles a request. Errors become responses with the status of their kind.
     pub async fn handle(self, request: Request) -> Response {
         self.dispatch(request).await.unwrap_or_else(Response::from)
     }
@@ -167,10 +172,10 @@
     async fn show_rollout(&self, service: &str, request: &Request) -> Result<Response, Error> {
         let value = self.read(RegisterId::Operations, request).await?;
         let operations = OperationsState::decode(&value)?;
-        let rollout = operations
-            .rollouts
-            .get(service)
-            .ok_or_else(|| Error::new(ErrorKind::NotFound, format!("no rollout of {service}")))?;
+        let rollout = operations.rollouts.get(service).ok_or_else(|| {
+            let detail = format!("service `{service}` has had no rollout");
+            Error::new(ErrorKind::NotFound, detail)
+        })?;
         let state = match rollout.stage {
             Stage::Active(_) => "active",
             Stage::Complete => "complete",
@@ -190,7 +195,7 @@
             .await
     }
 
-    /// Reads a register by a round of ballots.
+    /// Reads a register linearizably, by a consensus round.
     async fn read(
         &self,
         register: RegisterId,
@@ -206,13 +211,15 @@
         ask_owner(&self.queue, read).await?
     }
 
-    /// Proposes an operation. An unconditional one begins only while its caller waits here: one that has closed its
-    /// connection may have asked for the same, and for later operations, elsewhere. What is dropped here the state
-    /// owner takes out of its queue.
+    /// Proposes an operation and waits for its outcome.
+    ///
+    /// An unconditional operation is started only while its caller keeps the connection open: a caller that has closed
+    /// it may have sent the same operation, and later ones, to another control node. When this future drops the
+    /// receiver of the outcome, the state owner cancels the proposal.
     async fn propose(&self, operation: Operation, request: &Request) -> Result<Response, Error> {
-        let needs_caller = !operation.is_conditional() && Safeguard::CallerPresence.is_enabled();
-        if needs_caller && request.caller.is_gone().await {
-            let detail = "keep the connection open until the answer has come";
+        let requires_caller = !operation.is_conditional() && Safeguard::CallerPresence.is_enabled();
+        if requires_caller && request.caller.is_gone().await {
+            let detail = "keep the connection open until the response arrives";
             return Err(Error::new(ErrorKind::CallerGone, detail));
         }
         let (register, received_at) = (operation.register(), request.received_at);
@@ -224,8 +231,8 @@
         };
         tokio::select! {
             biased;
-            () = request.caller.gone(), if needs_caller => {
-                Err(Error::new(ErrorKind::NoQuorum, "the caller has closed its side"))
+            () = request.caller.gone(), if requires_caller => {
+                Err(Error::new(ErrorKind::NoQuorum, "the caller closed the connection"))
             }
             outcome = ask_owner(&self.queue, command) => {
                 outcome??;
--- a/crates/beechcroft-control/src/directory.rs
+++ b/crates/beechcroft-control/src/directory.rs
@@ -1,11 +1,11 @@
-//! The calls of clients that ask where to go.
+//! HTTP API of the directory, from which clients learn the addresses of proxies.
 
 use crate::state_owner::{ask_owner, Command, CommandQueue};
 use beechcroft_error::ErrorKind;
 use beechcroft_transport::calls::ApiCall;
 use beechcroft_transport::server::{Request, Response};
 
-/// Handles a call. `ttl_s`: how long an answer holds, in seconds.
+/// Handles a request. `ttl_s` is how long a client may use the response, in seconds.
 pub async fn handle(queue: CommandQueue, ttl_s: f64, request: Request) -> Response {
     if ApiCall::parse(&request.method, &request.path) != Some(ApiCall::Resolve) {
         return ErrorKind::UnknownCall.into();
--- a/crates/beechcroft-control/src/disk.rs
+++ b/crates/beechcroft-control/src/disk.rs
@@ -1,4 +1,5 @@
-//! The thread that owns the disk: it writes what waits together, with one sync, and says when it is stored.
+//! The disk writer: a thread that owns the data folder, writes all waiting records with one sync, and reports when they
+//! are stored.
 
 use beechcroft_consensus::{Records, FORMER_KEY, IDENTITY_KEY, REGISTER_KEYS};
 use beechcroft_safeguards::Safeguard;
@@ -11,14 +12,14 @@
 use std::sync::mpsc;
 use tokio::sync::oneshot;
 
-/// The records that a replica relies on.
+/// Keys of the records without which a replica must not vote.
 const REPLICA_RECORDS: [&str; 3] = [IDENTITY_KEY, REGISTER_KEYS.0[0], REGISTER_KEYS.0[1]];
 
-/// Turns a table with corrupt records into one that is safe to use. Whether that counts as a lost disk.
+/// Removes corrupt records, so that the rest of the table is safe to use. Returns whether the disk counts as lost.
 ///
-/// A corrupt record that only saves time is dropped. A replica that has lost a record counts as one that has lost its
-/// disk: an identity that is kept and empty says that there was one. Such a node bootstraps nothing, and votes again
-/// once it has recovered from the others.
+/// Corrupt checkpoints are only dropped. If a record of the replica is corrupt, all records of the replica are removed
+/// and an empty identity is stored, which marks that the node held a replica. Such a node does not bootstrap, and votes
+/// again only after it has recovered from the other replicas.
 pub fn repair(is_corrupt: impl Fn(&str) -> bool, table: &mut Table) -> bool {
     table.retain(|name, _| !is_corrupt(name));
     let is_lost = REPLICA_RECORDS.iter().any(|name| is_corrupt(name))
@@ -32,7 +33,7 @@
     is_lost
 }
 
-/// Opens a folder. Corruption is logged, and repaired as far as this node alone can.
+/// Opens a data folder. Corrupt records are logged and removed by [`repair`].
 pub fn open(folder: &Path) -> io::Result<RecordStore> {
     RecordStore::open_repaired(folder, |corruption, table| {
         for place in corruption.places() {
@@ -40,58 +41,58 @@
         }
         if repair(|name| corruption.affects(name), table) {
             log::error!(
-                "disk: This counts as a lost disk: the node recovers from the others before it votes."
+                "disk: Records of the replica are corrupt, so the disk counts as lost: the node recovers from the other replicas before it votes."
             );
         }
     })
 }
 
-/// The queue of the disk's owner. Clones share it.
+/// Handle to the disk writer. Clones share the same writer.
 #[derive(Clone)]
-pub struct Disk(Owner);
+pub struct Disk(Writer);
 
 #[derive(Clone)]
-enum Owner {
+enum Writer {
     Thread(mpsc::Sender<WriteJob>),
     Simulated(Rc<dyn SimulatedDisk>),
 }
 
-/// Records to write, and who waits for that.
+/// Records to write, and the sender that reports whether they are stored.
 struct WriteJob {
     records: Records,
     stored: oneshot::Sender<bool>,
 }
 
-/// A disk in a simulation.
+/// Replacement for the disk writer in a simulation.
 pub trait SimulatedDisk {
-    /// Writes and syncs records. Whether they are stored.
+    /// Writes and syncs records. Resolves to whether they are stored.
     fn store(&self, records: Records) -> Pin<Box<dyn Future<Output = bool>>>;
 }
 
 impl Disk {
-    /// Opens the folder and starts the owner. What the folder held comes back.
+    /// Opens the folder and starts the writer thread. Returns the records that the folder holds.
     pub fn open(folder: PathBuf) -> io::Result<(Disk, Table)> {
         let store = open(&folder)?;
         let table = store.table().clone();
         let (queue, jobs) = mpsc::channel();
         let thread = std::thread::Builder::new().name("disk".into());
         thread.spawn(move || write_jobs(store, jobs))?;
-        Ok((Disk(Owner::Thread(queue)), table))
+        Ok((Disk(Writer::Thread(queue)), table))
     }
 
-    /// A disk in a simulation.
+    /// Wraps the disk of a simulation.
     pub fn simulated(disk: Rc<dyn SimulatedDisk>) -> Disk {
-        Disk(Owner::Simulated(disk))
+        Disk(Writer::Simulated(disk))
     }
 
-    /// Writes and syncs records. Whether they are stored.
+    /// Writes and syncs records. Returns whether they are stored.
     pub async fn store(&self, records: Records) -> bool {
         if records.is_empty() {
             return true;
         }
         match &self.0 {
-            Owner::Simulated(disk) => disk.store(records).await,
-            Owner::Thread(queue) => {
+            Writer::Simulated(disk) => disk.store(records).await,
+            Writer::Thread(queue) => {
                 let (stored, result) = oneshot::channel();
                 let sent = queue.send(WriteJob { records, stored });
                 sent.is_ok() && result.await.unwrap_or(false)
@@ -100,7 +101,7 @@
     }
 }
 
-/// Writes jobs until the queue is dropped: all that wait together, with one sync.
+/// Body of the writer thread: writes all waiting jobs with one sync, until every [`Disk`] handle is dropped.
 fn write_jobs(mut store: RecordStore, jobs: mpsc::Receiver<WriteJob>) {
     while let Ok(WriteJob {
         mut records,
@@ -114,7 +115,7 @@
         }
         let written = store.write(&records);
         if let Err(e) = &written {
-            log::warn!("disk: Writing failed: {e}.");
+            log::warn!("disk: Write failed: {e}.");
         }
         for stored in waiting {
             let _ = stored.send(written.is_ok());
--- a/crates/beechcroft-control/src/internal_api.rs
+++ b/crates/beechcroft-control/src/internal_api.rs
@@ -1,4 +1,5 @@
-//! The calls of other nodes, and of an operator at the internal port. Bodies are in postcard form.
+//! API of the internal port, for other nodes and the operator's `show` and `why`. Most bodies are encoded with
+//! postcard.
 
 use crate::api::invalid;
 use crate::state_owner::{ask_owner, Command, CommandQueue};
@@ -17,7 +18,7 @@
     postcard::to_stdvec(value).map_err(invalid)
 }
 
-/// Handles a call.
+/// Handles a request. Errors become responses with the status of their kind.
 pub async fn handle(queue: CommandQueue, request: Request) -> Response {
     match dispatch(&queue, request).await {
         Ok(body) => Response::bytes(body),
--- a/crates/beechcroft-control/src/lib.rs
+++ b/crates/beechcroft-control/src/lib.rs
@@ -1,9 +1,10 @@
-//! The control plane: the program of the core machines.
+//! The control plane: the program that control nodes run.
 //!
-//! A control node keeps the control state and says where clients go. [`run::run`] puts its parts together:
+//! The control nodes keep the configuration and the state of operations in a replicated store, receive the heartbeats
+//! of units, and tell clients which proxies to use. [`run::run`] assembles a node from these parts:
 //!
 //! - [`state_owner`] owns all state behind one queue of commands and never awaits;
-//! - [`api`], [`directory`] and [`internal_api`] turn calls into commands;
+//! - [`api`], [`directory`] and [`internal_api`] turn HTTP calls into commands;
 //! - [`disk`] writes records on a thread of its own.
 
 #![warn(missing_docs)]
--- a/crates/beechcroft-control/src/main.rs
+++ b/crates/beechcroft-control/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of the core machines: the control plane.
+//! Command line of the control plane.
 
 use beechcroft_config::{ServiceDefaults, Settings};
 use beechcroft_consensus::{Acceptor, RegisterId};
@@ -12,34 +12,34 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// For a running process to answer a question.
-const QUESTION_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long `show` and `why` wait for the response of a running control node.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(3);
 
 mod flags {
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// The program of the core machines: the control plane.
+        /// The control plane of beechcroft.
         cmd control {
-            /// Runs a control node; the settings file is named by BEECHCROFT_SETTINGS.
+            /// Runs a control node with the settings file that BEECHCROFT_SETTINGS names.
             cmd run {
-                /// What is logged: error, warn, info or debug. Each line costs processor time.
+                /// Log level: error, warn, info or debug. Each logged line costs processor time.
                 optional --log level: String
-                /// Detects outliers also among the units of services whose configuration has no rules for that,
-                /// by the types of their routes. The same for every node.
+                /// Detects outliers also among the units of services without outlier rules in the configuration, with
+                /// default rules for the types of their routes. Must be the same on every node.
                 optional --verdicts
             }
-            /// Checks a settings file (.toml) or a configuration (.json); exit code 1 if it has a fault.
+            /// Checks a settings file (.toml) or a configuration (.json); exits with 1 if it is invalid.
             cmd check {
                 required file: PathBuf
             }
-            /// Why a unit is healthy or not: the evidence by region, as a running control node has it.
+            /// Explains why a unit counts as healthy or unhealthy: the evidence by region on a running control node.
             cmd why {
                 required unit: String
-                /// The control node's first internal port, IP:PORT.
+                /// Address of the control node's first internal port, IP:PORT.
                 required node: String
             }
-            /// Shows what a data folder holds, or a running process knows (IP:PORT, its first internal port).
+            /// Shows the content of a data folder, or the state of a running node (IP:PORT of its first internal port).
             cmd show {
                 required what: String
             }
@@ -48,7 +48,7 @@
 }
 
 fn main() -> ExitCode {
-    let done = match flags::Control::from_env_or_exit().subcommand {
+    let result = match flags::Control::from_env_or_exit().subcommand {
         flags::ControlCmd::Run(run) => {
             let defaults = ServiceDefaults {
                 outlier_detection: run.verdicts,
@@ -58,12 +58,14 @@
         }
         flags::ControlCmd::Check(check) => lifecycle::check_file(&check.file),
         flags::ControlCmd::Show(show) => show_state(&show.what),
-        flags::ControlCmd::Why(why) => ask_node(&why.node, paths::EVIDENCE, why.unit.into_bytes()),
+        flags::ControlCmd::Why(why) => {
+            query_node(&why.node, paths::EVIDENCE, why.unit.into_bytes())
+        }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("control: {fault}");
+        Err(error) => {
+            eprintln!("control: {error}");
             ExitCode::FAILURE
         }
     }
@@ -74,31 +76,32 @@
     builder.enable_all().build().map_err(|e| e.to_string())
 }
 
-/// Asks a running control node and prints its answer.
-fn ask_node(address: &str, path: &str, body: Vec<u8>) -> Result<(), String> {
+/// Calls the internal API of a running control node and prints the response.
+fn query_node(address: &str, path: &str, body: Vec<u8>) -> Result<(), String> {
     let to = address
         .parse::<SocketAddrV4>()
         .map_err(|e| format!("{address}: {e}"))?;
-    let asked = async {
+    let call = async {
         RpcClient::default()
-            .call(to, path, body, QUESTION_TIMEOUT)
+            .call(to, path, body, QUERY_TIMEOUT)
             .await
     };
     let text = tokio_runtime()?
-        .block_on(asked)
+        .block_on(call)
         .map_err(|error| error.to_string())?;
     print!("{}", String::from_utf8_lossy(&text));
     Ok(())
 }
 
+/// Prints the state of a running node if `what` is an address, else the content of the data folder of that path.
 fn show_state(what: &str) -> Result<(), String> {
     match what.parse::<SocketAddrV4>() {
-        Ok(_) => ask_node(what, paths::SHOW, Vec::new()),
+        Ok(_) => query_node(what, paths::SHOW, Vec::new()),
         Err(_) => show_folder(Path::new(what)),
     }
 }
 
-/// Prints what a data folder holds.
+/// Prints the content of a data folder without changing it.
 fn show_folder(folder: &Path) -> Result<(), String> {
     std::fs::read_dir(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let (table, corruption) = RecordStore::peek(folder);
@@ -132,7 +135,7 @@
     tokio_runtime()?.block_on(tokio::task::LocalSet::new().run_until(async move {
         let environment = Environment::real(&settings);
         let folder = settings.data_dir.clone();
-        let folder = folder.ok_or("dataDir: a control node needs a folder for its state")?;
+        let folder = folder.ok_or("dataDir: not set, but required for a control node")?;
         let (disk, table) = Disk::open(folder).map_err(|e| e.to_string())?;
         run(settings, defaults, environment, disk, table).await
     }))
--- a/crates/beechcroft-control/src/run.rs
+++ b/crates/beechcroft-control/src/run.rs
@@ -1,4 +1,4 @@
-//! How the parts of a control node are put together: servers, state owner, disk; and how it shuts down.
+//! Assembly of a control node from servers, state owner and disk, and its shutdown.
 
 use crate::api::{ControlApi, MAX_CLOCK_SKEW_MS};
 use crate::disk::Disk;
@@ -19,14 +19,15 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Between two ticks of the state owner.
+/// Interval between ticks of the state owner.
 const TICK_INTERVAL: Duration = Duration::from_millis(40);
-/// What is left of the grace period when a node exits that still waits to hand over.
+/// A node that has not handed over in time exits this long before the end of the grace period.
 const EXIT_MARGIN: Duration = Duration::from_millis(1500);
-/// How long an answer of the directory holds at most, in seconds.
+/// Upper bound of the time for which clients may use a response of the directory, in seconds.
 const MAX_TTL_S: f64 = 5.0;
 
-/// Runs until it is told to shut down and has handed over. `table`: what the disk held.
+/// Runs a control node until it is told to shut down and has handed over its replica. `table` holds the records that
+/// the disk held at the start.
 pub async fn run(
     settings: Settings,
     defaults: ServiceDefaults,
@@ -86,7 +87,7 @@
     Ok(())
 }
 
-/// A number that differs between processes and between machines.
+/// Seed for the random numbers of this process, which differs between processes and between machines.
 fn process_salt(incarnation: u64, settings: &Settings) -> u64 {
     let machine = u64::from(u32::from(settings.ip)) << 20;
     incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ machine
@@ -108,7 +109,7 @@
     }
 }
 
-/// Starts a server for each of what the process serves, and for other nodes.
+/// Starts the servers: the API and the directory if the settings name an address for them, and the internal API.
 fn spawn_servers(
     settings: &Settings,
     runtime: &Runtime,
@@ -136,7 +137,7 @@
     spawn_local(serve(runtime.clone(), internal, limits, handler));
 }
 
-/// Answers what was given to this node, and hands over what only it holds, within the grace period.
+/// Answers the requests that this node has received, and hands over its replica, within the grace period.
 async fn shut_down(
     settings: &Settings,
     mut owner: StateOwner,
--- a/crates/beechcroft-control/src/state_owner.rs
+++ b/crates/beechcroft-control/src/state_owner.rs
@@ -1,7 +1,7 @@
-//! The owner of a control node's state: members, endpoints, its replica, its rounds, and what is chosen.
+//! The owner of a control node's state: members, endpoints, the replica, running consensus rounds, and chosen values.
 //!
-//! Everything reaches it through one queue of [`Command`]s. It handles each in one step and never awaits; what takes
-//! time runs in a task that sends a command when it is done.
+//! Servers, sockets and timers reach it only through one queue of [`Command`]s. Each command is handled in one step
+//! that never awaits; calls to other nodes and writes to the disk run in tasks that send a command when they end.
 
 mod checkpoint;
 mod command;
@@ -31,84 +31,86 @@
 use consensus::Proposals;
 use membership::Membership;
 use quorum_contact::RevisionReads;
-use rollouts::StageSeen;
+use rollouts::ObservedStage;
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::time::Instant;
 
-/// The owner's clock starts here, so that ages before its start stay above 0. In milliseconds.
+/// Initial value of the owner's clock, so that times before the start of the process stay above 0, in milliseconds.
 const CLOCK_START_MS: u64 = 10_000;
-/// A pause between two commands from which on the process counts as stalled: ticks come every few hundredths of a
-/// second. In milliseconds.
+/// Gap between two commands from which the process counts as stalled, in milliseconds. Ticks alone come every few tens
+/// of milliseconds.
 const STALL_MS: u64 = 250;
-/// For how long after a stall operations that waited meanwhile are rejected, in milliseconds.
-const AFTER_STALL_MS: u64 = 400;
-/// Between two looks at rollouts and placements, in milliseconds.
+/// How long after a stall unconditional operations are rejected, because they may have waited during it, in
+/// milliseconds.
+const STALL_REJECTION_MS: u64 = 400;
+/// Interval between decisions on rollouts and placements, in milliseconds.
 const DECISION_INTERVAL_MS: u64 = 200;
 
-/// What a state owner is made of.
+/// Everything that a state owner is constructed from.
 pub struct StateOwnerParts {
-    /// The process's settings.
+    /// Settings of the process.
     pub settings: Settings,
-    /// What services get where the configuration does not say.
+    /// Defaults for whatever the configuration of a service leaves open.
     pub defaults: ServiceDefaults,
-    /// This node's replica, with what the disk held.
+    /// Acceptor of this node's replica, restored from the disk.
     pub acceptor: Acceptor,
-    /// This node as a member.
+    /// This node's report on itself.
     pub local: Member,
-    /// Drawn by each process.
+    /// Seed for random numbers, different for each process.
     pub salt: u64,
-    /// The owner of the disk.
+    /// Handle to the disk writer.
     pub disk: Disk,
-    /// The socket for gossip.
+    /// Socket for gossip messages.
     pub socket: MessageSocket,
-    /// The client for other nodes.
+    /// Client for the internal API of other nodes.
     pub rpc: RpcClient,
-    /// The owner's own queue.
+    /// Sender of the owner's own queue, for tasks that it spawns.
     pub queue: CommandQueue,
 }
 
-/// The owner of a control node's state.
+/// The owner of a control node's state. Times are milliseconds of its own clock, which starts at `CLOCK_START_MS`.
 pub struct StateOwner {
     settings: Settings,
     defaults: ServiceDefaults,
-    /// Whether this is the first start of the whole system, on a disk that never held a replica: only then are replicas
-    /// bootstrapped. A node that has lost its replica is not new, though its first process was started as one.
+    /// Whether this is the first start of the whole system, on a disk that never held a replica. Replicas are
+    /// bootstrapped only then: a node that has lost its replica must not bootstrap, even if its settings say so.
     is_bootstrapping: bool,
     started_at: Instant,
-    /// When the last command was handled.
-    awake_at: u64,
-    /// Until when operations that waited during a stall are rejected.
+    /// Time of the last command.
+    last_step_at: u64,
+    /// Until this time, unconditional operations are rejected because of a stall.
     stalled_until: u64,
     gossip: Gossip,
     acceptor: Acceptor,
     proposer: Proposer,
     proposals: Proposals,
     membership: Membership,
-    /// The latest values that are known to be chosen.
+    /// Latest value of each register that is known to be chosen.
     chosen: PerRegister<Value>,
-    /// The decoded operations register.
+    /// Decoded value of the operations register.
     operations: OperationsState,
-    /// The names of the configured services.
+    /// Names of the configured services.
     services: BTreeSet<String>,
-    /// The outlier rules of the services that have some.
+    /// Outlier rules of the services that have any.
     outlier_rules: BTreeMap<String, OutlierRules>,
     detectors: BTreeMap<String, OutlierDetector>,
-    /// Exclusions that the evidence asked for at the last look: one that is asked for twice is made.
-    wanted_exclusions: BTreeMap<String, BTreeSet<String>>,
-    placement_at: u64,
-    /// The nodes that make a majority with this one or without it.
+    /// Excluded endpoints of each service according to the last look at the verdicts. A placement changes only when two
+    /// consecutive looks agree.
+    pending_exclusions: BTreeMap<String, BTreeSet<String>>,
+    next_placement_at: u64,
+    /// The nodes that form a majority with this one, or without it if it holds no replica.
     quorum: Quorum,
-    quorum_updated_at: u64,
-    /// The states of endpoints that a majority of the control nodes is known to have stored.
+    next_quorum_update_at: u64,
+    /// States of endpoints that a majority of the control nodes is known to have stored.
     stored_by_majority: BTreeMap<String, EndpointState>,
     revision_reads: RevisionReads,
     fetcher: RegisterFetcher,
-    decision_at: u64,
-    /// What this node has seen of each rollout's stage.
-    stages: BTreeMap<String, StageSeen>,
-    /// Services without a base version, and since when their endpoints are known.
-    without_base_version: BTreeMap<String, u64>,
-    reread_at: u64,
+    next_decision_at: u64,
+    /// This node's view of the current stage of each service's rollout.
+    observed_stages: BTreeMap<String, ObservedStage>,
+    /// Services without a base version, with the time from which their endpoints are watched.
+    base_version_missing_since: BTreeMap<String, u64>,
+    next_reread_at: u64,
     checkpoint: checkpoint::Schedule,
     disk: Disk,
     socket: MessageSocket,
@@ -117,7 +119,7 @@
 }
 
 impl StateOwner {
-    /// A state owner that continues where a former process ended: `table` is what the disk held.
+    /// Creates a state owner that continues from the records that the disk held, given as `table`.
     pub fn new(parts: StateOwnerParts, table: &Table) -> StateOwner {
         let StateOwnerParts {
             settings,
@@ -137,7 +139,7 @@
             settings,
             defaults,
             started_at: Instant::now(),
-            awake_at: 0,
+            last_step_at: 0,
             stalled_until: 0,
             gossip,
             acceptor,
@@ -149,17 +151,17 @@
             services: BTreeSet::new(),
             outlier_rules: BTreeMap::new(),
             detectors: BTreeMap::new(),
-            wanted_exclusions: BTreeMap::new(),
-            placement_at: 0,
+            pending_exclusions: BTreeMap::new(),
+            next_placement_at: 0,
             quorum: Quorum::default(),
-            quorum_updated_at: 0,
+            next_quorum_update_at: 0,
             stored_by_majority: BTreeMap::new(),
             revision_reads: RevisionReads::default(),
             fetcher: RegisterFetcher::default(),
-            decision_at: 0,
-            stages: BTreeMap::new(),
-            without_base_version: BTreeMap::new(),
-            reread_at: 0,
+            next_decision_at: 0,
+            observed_stages: BTreeMap::new(),
+            base_version_missing_since: BTreeMap::new(),
+            next_reread_at: 0,
             checkpoint: checkpoint::Schedule::default(),
             disk,
             socket,
@@ -175,24 +177,24 @@
         self.at(Instant::now())
     }
 
-    /// A moment on the owner's clock, in milliseconds.
+    /// Converts an instant to the owner's clock, in milliseconds.
     fn at(&self, moment: Instant) -> u64 {
         let since_start = moment.saturating_duration_since(self.started_at);
         since_start.as_millis() as u64 + CLOCK_START_MS
     }
 
-    /// Notices that the process was stalled.
-    fn notice_stall(&mut self, now: u64) {
-        if self.awake_at > 0 && now > self.awake_at + STALL_MS {
-            self.stalled_until = now + AFTER_STALL_MS;
+    /// Detects that the process was stalled since the last command.
+    fn detect_stall(&mut self, now: u64) {
+        if self.last_step_at > 0 && now > self.last_step_at + STALL_MS {
+            self.stalled_until = now + STALL_REJECTION_MS;
         }
-        self.awake_at = now;
+        self.last_step_at = now;
     }
 
     /// Handles a command.
     pub fn step(&mut self, command: Command) {
         let now = self.now();
-        self.notice_stall(now);
+        self.detect_stall(now);
         let mut actions = Vec::new();
         match command {
             Command::Message(from, message) => {
@@ -272,7 +274,7 @@
         self.perform(actions);
     }
 
-    /// Performs what gossip asks for.
+    /// Carries out the actions of gossip.
     fn perform(&mut self, actions: Vec<Action>) {
         let now = self.now();
         for action in actions {
@@ -315,9 +317,9 @@
         self.announce_epochs(now);
         self.hand_over(now);
         self.reread_unconfirmed(now);
-        if now >= self.decision_at {
-            self.decision_at = now + DECISION_INTERVAL_MS;
-            // What this node knows of endpoints and alarms is no evidence while it hears no majority.
+        if now >= self.next_decision_at {
+            self.next_decision_at = now + DECISION_INTERVAL_MS;
+            // Without quorum contact, this node's view of endpoints and alarms may be stale.
             if self.has_quorum_contact(now) {
                 self.update_placements(now);
                 self.record_base_versions(now);
@@ -326,9 +328,9 @@
         }
     }
 
-    /// Another control node may be asked.
-    fn no_contact() -> Error {
-        let detail = "this control node does not reach a majority; another one may";
+    /// The error that sends a caller to another control node because this one has no quorum contact.
+    fn no_quorum_contact() -> Error {
+        let detail = "this control node cannot reach a majority; another control node may";
         Error::new(ErrorKind::NoQuorumContact, detail)
     }
 }
--- a/crates/beechcroft-control/src/state_owner/checkpoint.rs
+++ b/crates/beechcroft-control/src/state_owner/checkpoint.rs
@@ -1,5 +1,5 @@
-//! Checkpoints: records that spare the next process a wait. Nothing is acknowledged by them, and a process that cannot
-//! read one does without it.
+//! Checkpoints: records from which the next process of this node starts sooner. Nothing is acknowledged on the strength
+//! of a checkpoint, and a process that cannot read one starts without it.
 
 use super::StateOwner;
 use beechcroft_consensus::{encoding, PerRegister, Records, RegisterId};
@@ -9,16 +9,16 @@
 use serde::de::DeserializeOwned;
 use tokio::task::spawn_local;
 
-/// The records of the latest values that are known to be chosen.
+/// Keys of the latest values that are known to be chosen.
 pub(super) const CHOSEN_KEYS: PerRegister<&str> = PerRegister(["chosen-0", "chosen-1"]);
-/// The record of the endpoints.
+/// Key of the registry of endpoints.
 const ENDPOINTS_KEY: &str = "units";
-/// The record of the members.
+/// Key of the table of members.
 const MEMBERS_KEY: &str = "members";
-/// Between two checkpoints of endpoints and members at least, in milliseconds.
+/// Minimum interval between checkpoints of endpoints and members, in milliseconds.
 const CHECKPOINT_INTERVAL_MS: u64 = 500;
 
-/// What the next checkpoint has to contain, and when it may be written.
+/// Content of the next checkpoint, and the earliest time at which it may be written.
 #[derive(Default)]
 pub(super) struct Schedule {
     next_at: u64,
@@ -26,19 +26,19 @@
     pub(super) members_changed: bool,
 }
 
-/// Reads a checkpoint; the default if there is none or it cannot be read.
+/// Reads a checkpoint. Returns the default if it is missing or unreadable.
 fn read<T: DeserializeOwned + Default>(table: &Table, key: &str) -> T {
     let Some(bytes) = table.get(key) else {
         return T::default();
     };
     encoding::decode(bytes).unwrap_or_else(|e| {
-        log::error!("state: {key} on disk is left out: {e}.");
+        log::error!("state: Ignoring the unreadable checkpoint {key}: {e}.");
         T::default()
     })
 }
 
 impl StateOwner {
-    /// Starts where a former process ended: with what it knew to be chosen, its members and endpoints.
+    /// Restores the members, the endpoints and the chosen values that an earlier process of this node has stored.
     pub(super) fn restore(&mut self, table: &Table) {
         for record in self.acceptor.unreadable_records() {
             log::error!(
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Writes a checkpoint of endpoints and members, if something has changed and the last one is old enough.
+    /// Writes a checkpoint of the tables that have changed, if the last one is old enough.
     pub(super) fn write_checkpoint(&mut self, now: u64) {
         let Schedule {
             next_at,
@@ -82,7 +82,7 @@
         self.write_unacknowledged(records);
     }
 
-    /// Writes records that nothing waits for.
+    /// Writes records without waiting for the result. Nothing may be acknowledged on the strength of them.
     pub(super) fn write_unacknowledged(&self, records: Records) {
         let disk = self.disk.clone();
         spawn_local(async move { disk.store(records).await });
--- a/crates/beechcroft-control/src/state_owner/command.rs
+++ b/crates/beechcroft-control/src/state_owner/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the state owner, and how to ask it.
+//! Commands to the state owner, and the call that sends a command and awaits its answer.
 
 use super::PROPOSAL_TIMEOUT_MS;
 use beechcroft_consensus::{
@@ -13,158 +13,164 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Whether something was done that may be acknowledged.
+/// Outcome of a heartbeat or deregistration: `Ok` if it may be acknowledged to the unit.
 pub type Acknowledgement = Result<(), Error>;
 
-/// What the state owner is asked or told.
+/// A request to the state owner, or an event that it must handle.
 pub enum Command {
-    /// A gossip message has come.
+    /// A gossip message was received from this address.
     Message(SocketAddrV4, Box<Message>),
-    /// A unit's heartbeat. If it tells of a drain, it is acknowledged once a majority of the control nodes stores it.
+    /// Records a unit's heartbeat. If the unit is draining, the heartbeat is acknowledged once a majority of the
+    /// control nodes has stored that.
     Heartbeat {
-        /// The record.
+        /// Record of the endpoint as of this heartbeat.
         record: EndpointRecord,
-        /// Gets the acknowledgement.
+        /// Receives the acknowledgement.
         done: oneshot::Sender<Acknowledgement>,
     },
-    /// A unit ends.
+    /// Marks a unit as gone on its own request, acknowledged once a majority of the control nodes has stored that.
     Deregister {
-        /// Its id.
+        /// Id of the endpoint.
         id: String,
-        /// Gets the acknowledgement.
+        /// Receives the acknowledgement.
         done: oneshot::Sender<Acknowledgement>,
     },
-    /// Another control node passes on a drain or an end.
+    /// Stores a draining or gone endpoint on behalf of another control node.
     StoreEndpoint {
-        /// The record.
+        /// Record of the endpoint.
         record: EndpointRecord,
-        /// Told once it is stored.
+        /// Notified once the record is stored.
         done: oneshot::Sender<()>,
     },
-    /// A majority of the control nodes stores that an endpoint has reached a state.
+    /// A majority of the control nodes has stored the state of an endpoint.
     StoredByMajority {
-        /// The endpoint's id.
+        /// Id of the endpoint.
         id: String,
-        /// The state.
+        /// State that is stored.
         state: EndpointState,
     },
-    /// A consensus request for this node's replica.
+    /// Handles a consensus request for this node's replica.
     Consensus {
-        /// The request.
+        /// Request of the proposer.
         request: Request,
-        /// Gets the response, once it may go out.
+        /// Receives the response once the records that it depends on are on disk.
         response: oneshot::Sender<Response>,
     },
-    /// A response to a request of this node's proposer.
+    /// A replica has responded to a request of this node's proposer.
     ConsensusResponse {
-        /// The replica that was addressed.
+        /// Replica that the request was addressed to.
         from: ReplicaId,
-        /// The register of the request.
+        /// Register of the request.
         register: RegisterId,
-        /// The ballot of the request.
+        /// Ballot of the request.
         ballot: Ballot,
-        /// The response.
+        /// Response of the replica's holder.
         response: Response,
     },
-    /// A response to a fence of this node.
+    /// A control node has responded to a fence of this node.
     FenceResponse {
-        /// The epoch of the fence.
+        /// Epoch that the fence requested.
         epoch: Epoch,
-        /// The response.
+        /// Response of the control node.
         response: Response,
     },
-    /// A control node has answered an announcement of epochs.
+    /// A control node has responded to an announcement of epochs.
     EpochsAnnounced {
-        /// The node.
+        /// Name of the control node.
         to: String,
-        /// What was announced.
+        /// Epochs that were announced to it.
         epochs: Epochs,
-        /// Its answer.
+        /// Response of the control node.
         response: Response,
     },
-    /// The replica's identity is on disk.
+    /// The identity of this node's replica is on disk.
     IdentityStored,
-    /// The replica's identity could not be written.
+    /// The identity of this node's replica could not be written.
     IdentityNotStored,
-    /// An operation is proposed.
+    /// Proposes an operation.
     Propose {
-        /// The register that it changes.
+        /// Register that the operation applies to.
         register: RegisterId,
-        /// The operation.
+        /// Operation to apply.
         operation: Operation,
-        /// When it was read off its connection.
+        /// Time at which the request was read from its connection.
         received_at: Instant,
-        /// Gets the outcome.
+        /// Receives the outcome. Dropping the receiver cancels the proposal if it has not begun a round.
         outcome: oneshot::Sender<Outcome>,
     },
-    /// A proxy votes to roll back.
+    /// Rolls back a rollout on the vote of a proxy.
     Rollback {
-        /// The service.
+        /// Service of the rollout.
         service: String,
-        /// The rollout's id.
+        /// Id of the rollout.
         rollout: u64,
     },
-    /// The latest known value of a register is asked for.
+    /// Returns the latest chosen value of a register that this node knows of.
     ReadRegister {
-        /// The register.
+        /// Register to read.
         register: RegisterId,
-        /// Gets the value.
+        /// Receives the value.
         value: oneshot::Sender<Value>,
     },
-    /// A register's value was fetched from a peer.
+    /// The value of a register was fetched from a peer.
     RegisterFetched {
-        /// The register.
+        /// Register that was fetched.
         register: RegisterId,
-        /// The value.
+        /// Fetched value.
         value: Value,
     },
-    /// The revisions of the registers are asked for, read from a majority.
+    /// Returns the revisions of the registers as read from a majority.
     ReadRevisions(oneshot::Sender<Result<PerRegister<Revision>, Error>>),
-    /// A read of the revisions has ended.
+    /// The read of the revisions that was in progress has ended.
     RevisionsRead,
-    /// A client asks where to go.
+    /// Returns the addresses of the proxies that clients of a region should use.
     Resolve {
-        /// The client's region.
+        /// Region of the client.
         region: String,
-        /// Gets the addresses of proxies.
+        /// Receives the addresses.
         addresses: oneshot::Sender<Vec<SocketAddrV4>>,
     },
-    /// What the node knows is asked for, as text.
+    /// Describes the state of the node as text.
     Show(oneshot::Sender<String>),
-    /// The evidence on an endpoint is asked for, as text.
+    /// Describes the evidence on an endpoint as text.
     ShowEvidence {
-        /// The endpoint's id.
+        /// Id of the endpoint.
         endpoint: String,
-        /// Gets the text.
+        /// Receives the text.
         text: oneshot::Sender<String>,
     },
-    /// The seeds have changed.
+    /// Replaces the seeds of gossip.
     Seeds(Vec<SocketAddrV4>),
-    /// The node is to shut down.
+    /// Begins the shutdown of the node.
     ShutDown,
-    /// Time has passed.
+    /// Runs the periodic tasks that are due.
     Tick,
 }
 
-/// The queue of the state owner.
+/// Sender of the state owner's queue.
 pub type CommandQueue = mpsc::UnboundedSender<Command>;
 
-/// How long an answer is waited for beyond the time that a proposal has.
+/// How much longer than the time limit of a proposal a caller waits for the answer, in milliseconds.
 const ANSWER_MARGIN_MS: u64 = 200;
 
-/// Sends a command that is answered, and waits for the answer.
+/// Sends a command to the state owner and waits for the answer.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::NoQuorum`] if no answer comes in time. The command may have been carried out.
+/// [`ErrorKind::NoQuorum`] if no answer arrives in time. The command may still have been carried out.
 pub async fn ask_owner<T>(
     queue: &CommandQueue,
     command: impl FnOnce(oneshot::Sender<T>) -> Command,
 ) -> Result<T, Error> {
     let (sender, answer) = oneshot::channel();
-    let within = Duration::from_millis(PROPOSAL_TIMEOUT_MS + ANSWER_MARGIN_MS);
-    let no_answer = || Error::new(ErrorKind::NoQuorum, "no answer");
+    let timeout = Duration::from_millis(PROPOSAL_TIMEOUT_MS + ANSWER_MARGIN_MS);
+    let no_answer = || {
+        Error::new(
+            ErrorKind::NoQuorum,
+            "the control node did not answer in time",
+        )
+    };
     queue.send(command(sender)).map_err(|_| no_answer())?;
-    let answered = tokio::time::timeout(within, answer).await;
+    let answered = tokio::time::timeout(timeout, answer).await;
     answered.map_err(|_| no_answer())?.map_err(|_| no_answer())
 }
--- a/crates/beechcroft-control/src/state_owner/consensus.rs
+++ b/crates/beechcroft-control/src/state_owner/consensus.rs
@@ -1,4 +1,4 @@
-//! This node's replica and its rounds: requests in, responses out, and values that are chosen.
+//! Consensus: requests to this node's replica, proposals and rounds of its own, and values that are chosen.
 
 use super::checkpoint::CHOSEN_KEYS;
 use super::{Command, StateOwner};
@@ -20,26 +20,28 @@
 
 /// How long a node waits for the response to a consensus request.
 pub const CONSENSUS_TIMEOUT: Duration = Duration::from_millis(900);
-/// For so long a conditional operation may begin a round, in milliseconds.
+/// Time after its receipt within which a conditional operation may begin a round, in milliseconds.
 pub const PROPOSAL_TIMEOUT_MS: u64 = 2500;
-/// The operator asks another node after a second without an answer. By then an unconditional operation is in a round or
-/// enters none; what remains is for its way here and for a stall of this process that goes unnoticed. In milliseconds.
+/// Time after its receipt within which an unconditional operation may begin a round, in milliseconds. The operator
+/// retries on another node after a second without a response, and this operation must not begin a round after that. The
+/// difference allows for the transit time of the request and for a stall of this process that is too short to be
+/// detected.
 const UNCONDITIONAL_TIMEOUT_MS: u64 = 700;
-/// Between the first rereads of control nodes after a start, in milliseconds.
+/// Delay between the rereads of one control node and the next, in milliseconds.
 const REREAD_STAGGER_MS: u64 = 120;
 
-/// Operations that this node's proposer was given.
+/// Operations that were passed to this node's proposer.
 #[derive(Default)]
 pub(super) struct Proposals {
     last_id: ProposalId,
-    /// Who waits for which outcome.
+    /// Receivers of the outcomes that are awaited.
     waiting: BTreeMap<ProposalId, oneshot::Sender<Outcome>>,
-    /// Reads that show that the control nodes agree, and when each was proposed.
+    /// Quorum reads, with the time at which each was proposed.
     quorum_reads: BTreeMap<ProposalId, u64>,
 }
 
 impl StateOwner {
-    /// Handles a request for this node's replica. The response goes out once what it says is on disk.
+    /// Handles a request for this node's replica. The response is sent once the records that it depends on are on disk.
     pub(super) fn on_consensus(&mut self, request: Request, response: oneshot::Sender<Response>) {
         let announcement = match &request {
             Request::AnnounceEpochs { sender, epochs } => Some((sender.clone(), epochs.clone())),
@@ -51,12 +53,12 @@
         }
         match announcement {
             Some((sender, epochs)) => self.on_announcement(sender, &epochs),
-            None => self.notice_deposition(),
+            None => self.stop_voting_if_deposed(),
         }
         let disk = self.disk.clone();
         spawn_local(async move {
-            // After a write that failed, the replica holds more in memory than on disk: it only promises more than it
-            // has said. Whatever it says of that later comes with a write of the whole register.
+            // After a failed write, the replica is ahead of its disk, but no response has disclosed the difference. Any
+            // later response that does is sent only after a write of the whole register.
             if disk.store(records).await || !Safeguard::SyncBeforeResponse.is_enabled() {
                 let _ = response.send(answer);
             }
@@ -85,7 +87,7 @@
         });
     }
 
-    /// Handles an operation from outside.
+    /// Handles an operation that a caller of this node proposes.
     pub(super) fn on_propose(
         &mut self,
         now: u64,
@@ -109,8 +111,10 @@
         }
     }
 
-    /// Until when an operation may begin a round, or why it is rejected. An unconditional operation would take effect
-    /// whenever it is applied, after later ones, too: it counts only for as long as its caller waits here for it.
+    /// Returns the deadline by which an operation must begin a round, or an error if it is rejected.
+    ///
+    /// An unconditional operation takes effect whenever it is applied, even after later operations of the same caller.
+    /// Its deadline therefore ends before the caller may have turned to another node.
     fn proposal_deadline(
         &self,
         now: u64,
@@ -118,7 +122,8 @@
         received_at: Instant,
     ) -> Result<u64, Error> {
         if self.is_past_shutdown(now) {
-            return Err(Error::new(ErrorKind::ShuttingDown, "this machine leaves"));
+            let detail = "ask another control node";
+            return Err(Error::new(ErrorKind::ShuttingDown, detail));
         }
         self.check_may_propose(now, operation)?;
         let received_at = self.at(received_at);
@@ -134,8 +139,9 @@
         }
     }
 
-    /// A repeated configuration that this node knows to be chosen needs no round to confirm it: what a majority has
-    /// accepted stays chosen. So a node whose rounds always conflict with those of others confirms it anyway.
+    /// Whether an operation repeats a configuration that this node knows to be chosen. Such a repeat is confirmed
+    /// without a round, because a chosen value stays chosen. This lets a node confirm it even if its rounds keep
+    /// conflicting with those of other nodes.
     fn is_known_chosen(&self, operation: &Operation) -> bool {
         let Operation::ReplaceConfig { .. } = operation else {
             return false;
@@ -145,12 +151,12 @@
                 .is_ok_and(|store| store.has_committed(operation))
     }
 
-    /// Proposes an operation of this node's own. Its id.
+    /// Proposes an operation of this node's own. Returns the id of the proposal.
     pub(super) fn propose(&mut self, operation: Operation) -> ProposalId {
         self.propose_to(operation.register(), operation)
     }
 
-    /// Reads a register by a round.
+    /// Proposes a linearizable read of a register.
     pub(super) fn propose_read(&mut self, register: RegisterId) -> ProposalId {
         self.propose_to(register, Operation::Read)
     }
@@ -177,7 +183,7 @@
         id
     }
 
-    /// Reads a register by a round whose outcome somebody waits for.
+    /// Proposes a linearizable read of a register and returns the receiver of its outcome.
     pub(super) fn propose_awaited_read(
         &mut self,
         register: RegisterId,
@@ -190,13 +196,13 @@
         outcome
     }
 
-    /// Reads the operations register to show that the control nodes agree.
+    /// Proposes a quorum read: a read of the operations register as evidence that the control nodes agree.
     pub(super) fn propose_quorum_read(&mut self, now: u64) {
         let id = self.propose_read(RegisterId::Operations);
         self.proposals.quorum_reads.insert(id, now);
     }
 
-    /// Cancels operations whose callers have gone.
+    /// Cancels operations whose outcome is no longer awaited.
     fn cancel_abandoned(&mut self) {
         let waiting = self.proposals.waiting.iter();
         let abandoned = waiting
@@ -231,7 +237,7 @@
     fn complete(&mut self, id: ProposalId, outcome: Outcome) {
         let proposed_at = self.proposals.quorum_reads.remove(&id);
         if let (Ok(value), Some(proposed_at)) = (&outcome, proposed_at) {
-            // What a round reads is as old as its beginning: this node may have been stalled in it.
+            // Dated by the start of the round, because this node may have been stalled during it.
             self.gossip.record_quorum_read(proposed_at, value.revision);
         }
         if let Some(waiting) = self.proposals.waiting.remove(&id) {
@@ -239,7 +245,7 @@
         }
     }
 
-    /// Sends a request to the holders of replicas, this node perhaps among them.
+    /// Sends a request to the holders of replicas, which may include this node.
     fn send_to_replicas(&mut self, replicas: Vec<ReplicaId>, request: &Request) {
         let Some((register, ballot)) = request.round() else {
             return;
@@ -270,7 +276,7 @@
         }
     }
 
-    /// Sends a request to another control node. Nothing happens where no response comes.
+    /// Sends a request to another control node. `on_response` is called only if a response arrives in time.
     pub(super) fn send_consensus(
         &self,
         node: &str,
@@ -300,7 +306,7 @@
             .map(|member| self.gossip.address(member))
     }
 
-    /// A value is chosen: by a round of this node, or as another node knows. Older ones are ignored.
+    /// Applies a value that is chosen, by a round of this node or according to another node. Older values are ignored.
     pub(super) fn on_chosen(&mut self, register: RegisterId, value: Value) {
         if value.revision <= self.chosen[register].revision {
             return;
@@ -310,7 +316,7 @@
             RegisterId::Operations => self.apply_operations(&value),
         };
         if let Err(error) = applied {
-            log::error!("state: A chosen value is left out: {error}.");
+            log::error!("state: Cannot apply the chosen value of register {register}: {error}.");
             return;
         }
         let key = CHOSEN_KEYS[register].to_owned();
@@ -347,20 +353,21 @@
         Ok(())
     }
 
-    /// What this replica has accepted, and does not know to be chosen, a round confirms or replaces. Rounds of all
-    /// control nodes at once would only conflict: one at a time does it, in the order of their names.
+    /// Reads registers in which this replica has accepted a value that it does not know to be chosen. The round of the
+    /// read confirms or replaces the value. Simultaneous rounds of all control nodes would conflict, so the nodes take
+    /// turns in the order of their names.
     pub(super) fn reread_unconfirmed(&mut self, now: u64) {
-        if now < self.reread_at {
+        if now < self.next_reread_at {
             return;
         }
         let local = self.gossip.local().name.as_str();
         let members = self.gossip.live_members();
-        let earlier = members
+        let rank = members
             .filter(|m| m.is_control && m.name.as_str() < local)
             .count() as u64;
-        let is_first = self.reread_at == 0;
+        let is_first = self.next_reread_at == 0;
         let delay = if is_first { 1 } else { PROPOSAL_TIMEOUT_MS };
-        self.reread_at = now + delay + earlier * REREAD_STAGGER_MS;
+        self.next_reread_at = now + delay + rank * REREAD_STAGGER_MS;
         if is_first {
             return;
         }
--- a/crates/beechcroft-control/src/state_owner/membership.rs
+++ b/crates/beechcroft-control/src/state_owner/membership.rs
@@ -1,4 +1,5 @@
-//! Which replica this node holds: bootstrap, recovery of a lost disk, takeover of a replica whose node is gone, handover.
+//! The replica that this node holds: bootstrap, recovery after a lost disk, takeover of a replica whose node is gone,
+//! and handover during a shutdown.
 
 use super::{Command, StateOwner};
 use beechcroft_consensus::{
@@ -10,23 +11,24 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Between two fences, announcements and handover reads, in milliseconds.
+/// Interval between retries of fences, announcements and handover reads, in milliseconds.
 const RETRY_INTERVAL_MS: u64 = 300;
-/// How often a node without a replica asks who holds them, in milliseconds.
+/// Interval at which a node without a replica asks for the holders of all replicas, in milliseconds.
 const HOLDERS_INTERVAL_MS: u64 = 1000;
-/// For how long a node that shuts down answers what it was given and takes new operations, in milliseconds.
+/// How long after the start of its shutdown a node still accepts and answers operations, in milliseconds.
 pub const SHUTDOWN_ANSWER_MS: u64 = 800;
-/// A replica whose node has been down for a quarter of `syncS` is given to a node that waits for one. As long again
-/// passes until it is known everywhere that the node is down, and the successor votes well before it has to count.
-const VACANT_MS_PER_SYNC_S: f64 = 250.0;
-/// The same for a node that is shutting down, in milliseconds.
-const VACANT_AFTER_LEAVING_MS: u64 = 200;
-/// Since the last new control node, before replicas are bootstrapped, in milliseconds.
+/// How long a node must be down before a waiting node takes over its replica, in milliseconds per second of `syncS`: a
+/// quarter of `syncS`. Another quarter passes until all nodes know that the node is down, so the successor votes well
+/// before it must.
+const TAKEOVER_DELAY_MS_PER_SYNC_S: f64 = 250.0;
+/// How long a node must be shutting down before a waiting node takes over its replica, in milliseconds.
+const LEAVING_TAKEOVER_DELAY_MS: u64 = 200;
+/// How long the number of known control nodes must be stable before replicas are bootstrapped, in milliseconds.
 const BOOTSTRAP_SETTLE_MS: u64 = 1000;
-/// The pause after a failure to write the identity.
-const STORE_RETRY: Duration = Duration::from_millis(100);
+/// Delay before the identity is written again after a failed write.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The replicas of the quorum, as this node was told while it holds none.
+/// The replicas of the quorum and their holders, as learned from other nodes while this node holds no replica.
 pub(super) struct KnownReplicas {
     pub(super) replicas: Vec<ReplicaId>,
     pub(super) epochs: Epochs,
@@ -36,7 +38,7 @@
 #[derive(Clone, Copy)]
 struct Shutdown {
     since: u64,
-    /// Whether this node held a replica then.
+    /// Whether this node's replica voted at that time.
     was_voting: bool,
 }
 
@@ -44,46 +46,48 @@
 #[derive(Default)]
 struct BootstrapCandidates {
     count: usize,
-    /// When the number last changed.
+    /// Time of the last change of `count`.
     changed_at: u64,
 }
 
-/// What a control node knows of replicas beside its acceptor.
+/// State of this node as the holder of a replica, or as a node that waits for one.
 #[derive(Default)]
 pub(super) struct Membership {
-    /// Its identity is on disk and in force.
+    /// Whether the identity of the replica is on disk and in force.
     is_voting: bool,
-    /// The identity is not known to be on disk: no response goes out that is not written together with it.
-    is_identity_unstored: bool,
-    known: Option<KnownReplicas>,
-    /// When it last asked who holds the replicas.
-    asked_at: u64,
-    /// Replicas whose nodes are down or shut down, and since when.
+    /// Whether the write of the identity is still pending. Until it is on disk, each response is sent only after a
+    /// write that includes the identity.
+    is_identity_pending: bool,
+    known_replicas: Option<KnownReplicas>,
+    /// Time of the last request for the holders of all replicas.
+    holders_requested_at: u64,
+    /// Replicas whose nodes are down or shutting down, with the time at which this node noticed.
     vacant: BTreeMap<ReplicaId, u64>,
-    fence_at: u64,
-    /// The epochs that each control node is known to know.
+    next_fence_at: u64,
+    /// Epochs that each control node has confirmed to know.
     announced_to: BTreeMap<String, Epochs>,
-    announce_at: u64,
-    /// Under which ballot each replica has accepted, as rounds of this node saw.
+    next_announcement_at: u64,
+    /// Highest ballot under which each replica has accepted, as observed in rounds of this node.
     accepted_by: PerRegister<BTreeMap<ReplicaId, Ballot>>,
     shutdown: Option<Shutdown>,
-    hand_over_at: u64,
-    /// Another node holds this node's former replica.
+    next_handover_at: u64,
+    /// Whether another node has taken over the replica that this node held.
     is_handed_over: bool,
     candidates: BootstrapCandidates,
 }
 
 impl Membership {
+    /// Whether no write of the identity is pending.
     pub(super) fn is_identity_stored(&self) -> bool {
-        !self.is_identity_unstored
+        !self.is_identity_pending
     }
 
-    /// The replicas and their holders, for a node that holds none.
-    pub(super) fn known(&self) -> Option<&KnownReplicas> {
-        self.known.as_ref()
+    /// The replicas and their holders, as learned while this node holds no replica.
+    pub(super) fn known_replicas(&self) -> Option<&KnownReplicas> {
+        self.known_replicas.as_ref()
     }
 
-    /// A replica has accepted in a round of this node.
+    /// Records that a replica has accepted a value in a round of this node.
     pub(super) fn record_acceptance(
         &mut self,
         register: RegisterId,
@@ -98,21 +102,25 @@
 }
 
 impl StateOwner {
-    /// The node that holds a replica, as far as is known.
+    /// Name of the node that holds a replica, as far as this node knows.
     pub(super) fn holder(&self, replica: &str) -> String {
         let own = self.acceptor.identity().map(|identity| &identity.epochs);
-        let told = self.membership.known.as_ref().map(|known| &known.epochs);
-        own.or(told)
+        let learned = self
+            .membership
+            .known_replicas
+            .as_ref()
+            .map(|known| &known.epochs);
+        own.or(learned)
             .map_or_else(|| replica.to_owned(), |epochs| epochs.holder(replica))
     }
 
-    /// The replicas that this node's rounds address. It need not hold one of them.
+    /// The replicas that this node's rounds address, whether or not it holds one of them.
     pub(super) fn replicas(&self) -> &[ReplicaId] {
         if self.acceptor.identity().is_some() {
             return self.acceptor.replicas();
         }
         self.membership
-            .known
+            .known_replicas
             .as_ref()
             .map_or(&[], |known| &known.replicas)
     }
@@ -122,23 +130,24 @@
         self.membership.is_voting
     }
 
+    /// Passes the replicas of the quorum to the proposer, with the highest ballot number that it must exceed.
     fn update_proposer(&mut self) {
         let replicas = self.replicas().to_vec();
         let highest = self.acceptor.highest_ballot_number();
         self.proposer.set_replicas(&replicas, highest);
     }
 
-    /// The replica votes from here on, if this node holds one.
+    /// Lets this node's replica vote from now on, if it holds one.
     pub(super) fn start_voting(&mut self) {
         self.membership.is_voting = self.acceptor.identity().is_some();
-        self.membership.announce_at = 0;
+        self.membership.next_announcement_at = 0;
         self.update_proposer();
     }
 
-    /// Writes the identity. Until it is on disk, each response is written together with it. What is written again after
-    /// a failure is what the replica holds by then.
+    /// Writes the identity with all records of the replica. A retry after a failed write stores the records that the
+    /// replica holds by then.
     pub(super) fn store_identity(&mut self) {
-        self.membership.is_identity_unstored = true;
+        self.membership.is_identity_pending = true;
         let (disk, queue, records) = (
             self.disk.clone(),
             self.queue.clone(),
@@ -148,51 +157,52 @@
             if disk.store(records).await {
                 let _ = queue.send(Command::IdentityStored);
             } else {
-                tokio::time::sleep(STORE_RETRY).await;
+                tokio::time::sleep(STORE_RETRY_DELAY).await;
                 let _ = queue.send(Command::IdentityNotStored);
             }
         });
     }
 
     pub(super) fn on_identity_stored(&mut self) {
-        self.membership.is_identity_unstored = false;
+        self.membership.is_identity_pending = false;
         self.start_voting();
     }
 
-    /// Others know of replicas that were taken over, this node's own perhaps.
+    /// Merges the epochs that another node knows of. They may show that this node's replica was taken over.
     pub(super) fn merge_epochs(&mut self, epochs: &Epochs) {
         if let Some(records) = self.acceptor.merge_epochs(epochs) {
             self.write_unacknowledged(records);
         }
         if self.acceptor.identity().is_none() {
-            if let Some(known) = &mut self.membership.known {
+            if let Some(known) = &mut self.membership.known_replicas {
                 known.epochs.merge(epochs);
             }
         }
-        self.notice_deposition();
+        self.stop_voting_if_deposed();
     }
 
-    /// Once another node takes this node's replica over, this one stops voting and waits with what it knows.
-    pub(super) fn notice_deposition(&mut self) {
+    /// Stops voting if another node has taken over this node's replica. This node keeps what it knows of the replicas
+    /// and waits for another one.
+    pub(super) fn stop_voting_if_deposed(&mut self) {
         let former = self
             .acceptor
             .former_identity()
             .filter(|_| self.membership.is_voting);
         let Some(former) = former else { return };
         log::warn!(
-            "state: Another node takes over this node's replica; it does not vote any more."
+            "state: Another node has taken over this node's replica; this node no longer votes."
         );
         let known = KnownReplicas {
             replicas: former.replicas.clone(),
             epochs: former.epochs.clone(),
         };
-        self.membership.known = Some(known);
-        self.membership.asked_at = self.now();
+        self.membership.known_replicas = Some(known);
+        self.membership.holders_requested_at = self.now();
         self.membership.is_voting = false;
         self.update_proposer();
     }
 
-    /// A control node announces what it knows of epochs.
+    /// Handles the announcement of epochs by another control node.
     pub(super) fn on_announcement(&mut self, sender: Option<ReplicaEpoch>, epochs: &Epochs) {
         if let (Some(sender), Some(former)) = (sender, self.acceptor.former_identity()) {
             let is_successor = sender.replica == former.replica && sender.epoch > former.epoch;
@@ -201,7 +211,7 @@
         self.merge_epochs(epochs);
     }
 
-    /// A control node has answered an announcement of this node.
+    /// Handles the response of a control node to an announcement of this node.
     pub(super) fn on_epochs_announced(
         &mut self,
         to: String,
@@ -210,12 +220,12 @@
     ) {
         if let Response::KnownEpochs { replicas, epochs } = response {
             if self.acceptor.identity().is_none() {
-                match &mut self.membership.known {
+                match &mut self.membership.known_replicas {
                     Some(known) => drop(known.epochs.merge(&epochs)),
                     None => {
                         let epochs = epochs.clone();
-                        self.membership.known = Some(KnownReplicas { replicas, epochs });
-                        self.membership.fence_at = 0;
+                        self.membership.known_replicas = Some(KnownReplicas { replicas, epochs });
+                        self.membership.next_fence_at = 0;
                         self.update_proposer();
                     }
                 }
@@ -225,15 +235,15 @@
         self.membership.announced_to.insert(to, announced);
     }
 
-    /// Announces epochs to each control node until it has confirmed that it knows them: a replica that was cut off while
-    /// it was taken over must learn of that before it is counted on.
+    /// Announces the known epochs to each control node until that node has confirmed them. A node that was isolated
+    /// while its replica was taken over must learn of that before its votes are relied on.
     pub(super) fn announce_epochs(&mut self, now: u64) {
         let identity = self
             .acceptor
             .identity()
             .filter(|_| self.membership.is_voting);
         let Some(identity) = identity else { return };
-        if now < self.membership.announce_at || !Safeguard::EpochsAnnounced.is_enabled() {
+        if now < self.membership.next_announcement_at || !Safeguard::EpochsAnnounced.is_enabled() {
             return;
         }
         let epochs = identity.epochs.clone();
@@ -241,7 +251,7 @@
             replica: identity.replica.clone(),
             epoch: identity.epoch,
         };
-        self.membership.announce_at = now + RETRY_INTERVAL_MS;
+        self.membership.next_announcement_at = now + RETRY_INTERVAL_MS;
         let announced_to = &self.membership.announced_to;
         let may_not_know = |member: &&Member| {
             is_candidate(member) && announced_to.get(&member.name) != Some(&epochs)
@@ -269,7 +279,8 @@
         }
     }
 
-    /// This node holds no replica: it is the first start of the whole system, its disk was lost, or it waits for one.
+    /// Called while this node holds no replica: bootstraps the replicas at the first start of the whole system, and
+    /// otherwise recovers the replica of a lost disk or waits to take one over.
     pub(super) fn acquire_replica(&mut self, now: u64) {
         if !self.settings.quorum_member {
             return;
@@ -278,14 +289,14 @@
         let others: Vec<String> = members.map(|member| member.name.clone()).collect();
         if self.is_bootstrapping {
             self.bootstrap(now, others);
-        } else if now >= self.membership.fence_at && self.membership.shutdown.is_none() {
-            self.membership.fence_at = now + RETRY_INTERVAL_MS;
+        } else if now >= self.membership.next_fence_at && self.membership.shutdown.is_none() {
+            self.membership.next_fence_at = now + RETRY_INTERVAL_MS;
             self.take_over_replica(now, others);
         }
     }
 
-    /// Once as many control nodes are known as there are replicas, and no further one has come for a while, the first
-    /// ones by name hold the replicas.
+    /// Bootstraps the replicas once enough control nodes are known and their number is stable. The first ones by name
+    /// hold the replicas.
     fn bootstrap(&mut self, now: u64, others: Vec<String>) {
         let local = self.gossip.local().name.clone();
         let mut names = others;
@@ -311,12 +322,12 @@
         }
     }
 
-    /// Fences the replica that this node is to hold.
+    /// Fences the replica that this node is to hold, if there is one.
     fn take_over_replica(&mut self, now: u64, others: Vec<String>) {
-        // Holders change while this node waits: a replica may have been taken over, or given back.
-        let is_due = now >= self.membership.asked_at + HOLDERS_INTERVAL_MS;
-        if self.membership.known.is_none() || is_due {
-            self.membership.asked_at = now;
+        // Holders may change while this node waits, so it asks again.
+        let is_due = now >= self.membership.holders_requested_at + HOLDERS_INTERVAL_MS;
+        if self.membership.known_replicas.is_none() || is_due {
+            self.membership.holders_requested_at = now;
             self.send_announcement(others.clone(), None, Epochs::new());
         }
         let Some(replica) = self.replica_to_take_over(now) else {
@@ -337,12 +348,13 @@
         }
     }
 
-    /// The replica that a node without one asks for: the one that it held, after a lost disk; otherwise that of a node
-    /// which has long been down. Of several nodes that wait, each takes another one.
+    /// The replica that this node should fence: after a lost disk the one that it held before, otherwise one whose node
+    /// has been down or leaving for long enough. If several nodes wait, each chooses a different replica, by the order
+    /// of their names.
     fn replica_to_take_over(&mut self, now: u64) -> Option<ReplicaId> {
         let has_contact = self.has_quorum_contact(now);
         let local = &self.gossip.local().name;
-        let known = self.membership.known.as_ref()?;
+        let known = self.membership.known_replicas.as_ref()?;
         let holder = |replica: &str| known.epochs.holder(replica);
         if let Some(held) = known
             .replicas
@@ -351,7 +363,7 @@
         {
             return Some(held.clone());
         }
-        // A node that hears no majority knows of none that it is down.
+        // Without quorum contact, this node cannot tell which other nodes are down.
         if !has_contact {
             self.membership.vacant.clear();
             return None;
@@ -368,40 +380,40 @@
                 && !holds_replica(&member.name)
         };
         let waiting = self.gossip.live_members().filter(is_waiting);
-        let earlier = waiting.filter(|member| member.name < *local).count();
+        let rank = waiting.filter(|member| member.name < *local).count();
         let vacant = &mut self.membership.vacant;
         let is_vacant = |replica: &&ReplicaId| !is_up(&self.gossip, &holder(replica));
         vacant.retain(|replica, _| is_vacant(&replica));
         for replica in known.replicas.iter().filter(is_vacant) {
             vacant.entry(replica.clone()).or_insert(now);
         }
-        let (replica, since) = vacant.iter().nth(earlier)?;
-        // A node that shuts down by order will not be back soon; one that is down may.
+        let (replica, since) = vacant.iter().nth(rank)?;
+        // A node that is shutting down on request will not be back soon; one that is down may be.
         let member = self.gossip.member(&holder(replica));
         let is_leaving = member.is_some_and(|member| member.state == MemberState::Leaving);
-        let down_ms = (self.settings.bounds.sync_s * VACANT_MS_PER_SYNC_S) as u64;
-        let patience_ms = if is_leaving {
-            VACANT_AFTER_LEAVING_MS
+        let down_delay_ms = (self.settings.bounds.sync_s * TAKEOVER_DELAY_MS_PER_SYNC_S) as u64;
+        let delay_ms = if is_leaving {
+            LEAVING_TAKEOVER_DELAY_MS
         } else {
-            down_ms
+            down_delay_ms
         };
-        (now >= *since + patience_ms).then(|| replica.clone())
+        (now >= *since + delay_ms).then(|| replica.clone())
     }
 
-    /// A control node has answered a fence.
+    /// Handles the response of a control node to a fence of this node.
     pub(super) fn on_fence_response(&mut self, epoch: Epoch, response: Response) {
         if let (Response::ReplicaState { epochs, .. }, Some(known)) =
-            (&response, &mut self.membership.known)
+            (&response, &mut self.membership.known_replicas)
         {
             known.epochs.merge(epochs);
         }
         if self.acceptor.on_fence_response(epoch, response).is_some() {
-            log::info!("state: The replica is recovered; this node votes again.");
+            log::info!("state: This node has recovered a replica and votes once it is stored.");
             self.store_identity();
         }
     }
 
-    /// SIGTERM has come.
+    /// Begins the shutdown of this node.
     pub(super) fn begin_shutdown(&mut self, now: u64) {
         let was_voting = self.membership.is_voting;
         self.membership.shutdown = Some(Shutdown {
@@ -410,25 +422,26 @@
         });
     }
 
-    /// Whether new operations go elsewhere: this node only waits for its replica to be taken over.
+    /// Whether the shutdown has reached the phase in which this node rejects new operations and only waits for its
+    /// replica to be taken over.
     pub(super) fn is_past_shutdown(&self, now: u64) -> bool {
         let shutdown = self.membership.shutdown;
         shutdown.is_some_and(|shutdown| now >= shutdown.since + SHUTDOWN_ANSWER_MS)
     }
 
-    /// During a shutdown, has every live replica accept what this one holds.
+    /// During a shutdown, reads all registers, so that every live replica accepts the values that this one holds.
     pub(super) fn hand_over(&mut self, now: u64) {
         let is_handing_over = self.membership.shutdown.is_some() && self.membership.is_voting;
-        if is_handing_over && now >= self.membership.hand_over_at && !self.may_exit() {
-            self.membership.hand_over_at = now + RETRY_INTERVAL_MS;
+        if is_handing_over && now >= self.membership.next_handover_at && !self.may_exit() {
+            self.membership.next_handover_at = now + RETRY_INTERVAL_MS;
             for register in RegisterId::ALL {
                 self.propose_read(register);
             }
         }
     }
 
-    /// Whether the process may exit: what it would take away exists elsewhere. Every other live replica has accepted what
-    /// this one holds, and where a node waits for a replica, it has taken this one over.
+    /// Whether the process may exit without loss of state: every other live replica has accepted the values that this
+    /// one holds, and if a node is waiting for a replica, it has taken over this one.
     pub fn may_exit(&self) -> bool {
         if !Safeguard::HandoverBeforeExit.is_enabled() {
             return true;
@@ -463,7 +476,7 @@
             && live.all(|replica| self.has_accepted_everything(replica))
     }
 
-    /// Whether another replica has accepted what this one holds, as rounds of this node saw.
+    /// Whether another replica has accepted the values that this one holds, as observed in rounds of this node.
     fn has_accepted_everything(&self, replica: &str) -> bool {
         RegisterId::ALL.into_iter().all(|register| {
             let accepted = self.acceptor.register(register).accepted.as_ref();
@@ -473,12 +486,12 @@
     }
 }
 
-/// Whether a member may hold a replica.
+/// Whether a member is eligible to hold a replica.
 fn is_candidate(member: &Member) -> bool {
     member.is_control && member.is_quorum_member
 }
 
-/// Whether a node is up and does not shut down.
+/// Whether a node is live and not shutting down.
 fn is_up(gossip: &beechcroft_gossip::Gossip, name: &str) -> bool {
     gossip
         .live_members()
--- a/crates/beechcroft-control/src/state_owner/placement.rs
+++ b/crates/beechcroft-control/src/state_owner/placement.rs
@@ -1,4 +1,5 @@
-//! Placements: which endpoints non-idempotent requests may not go to, decided by the control nodes from the verdicts.
+//! Placements: the endpoints that are excluded from non-idempotent requests, which the control nodes decide from the
+//! verdicts of outlier detection.
 
 use super::StateOwner;
 use beechcroft_consensus::Operation;
@@ -6,19 +7,19 @@
 use beechcroft_registry::{Endpoint, EndpointState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Between two looks, in milliseconds.
+/// Interval between decisions on placements, in milliseconds.
 const PLACEMENT_INTERVAL_MS: u64 = 1000;
 
 impl StateOwner {
-    /// Where a service has outlier rules: the control nodes show each second that they agree, and the placement follows
-    /// the verdicts.
+    /// Changes placements according to the verdicts, and refreshes the quorum read that proxies need to rely on a
+    /// placement. Does nothing while no service has outlier rules.
     pub(super) fn update_placements(&mut self, now: u64) {
-        if self.outlier_rules.is_empty() || now < self.placement_at {
+        if self.outlier_rules.is_empty() || now < self.next_placement_at {
             return;
         }
-        self.placement_at = now + PLACEMENT_INTERVAL_MS;
+        self.next_placement_at = now + PLACEMENT_INTERVAL_MS;
         let is_coordinator = self.is_coordinator(now);
-        // One control node shows it; another one does once that one's reads stay out.
+        // The coordinator proposes the quorum read; any other node does if the coordinator's reads fail to appear.
         let last_read_at = self.gossip.last_quorum_read_at();
         let is_missing = last_read_at.is_none_or(|at| now > at + 2 * PLACEMENT_INTERVAL_MS);
         if is_coordinator || is_missing {
@@ -29,15 +30,15 @@
             .values_mut()
             .for_each(|detector| detector.advance_clock(period));
         if is_coordinator {
-            for operation in self.wanted_placements() {
+            for operation in self.due_placements() {
                 self.propose(operation);
             }
         }
     }
 
-    /// The placements that the evidence asks for a second time.
-    fn wanted_placements(&mut self) -> Vec<Operation> {
-        let mut wanted = Vec::new();
+    /// Operations for the placements that must change, according to this look at the verdicts and the previous one.
+    fn due_placements(&mut self) -> Vec<Operation> {
+        let mut due = Vec::new();
         let services: Vec<String> = self.outlier_rules.keys().cloned().collect();
         for service in services {
             let Some(verdicts) = self.verdicts(&service) else {
@@ -55,22 +56,22 @@
                 .get(&service)
                 .cloned()
                 .unwrap_or_default();
-            let before = self
-                .wanted_exclusions
+            let previous = self
+                .pending_exclusions
                 .insert(service.clone(), excluded.clone());
-            if excluded != held.excluded && before.as_ref() == Some(&excluded) {
-                log::info!("state: The placement of {service} changes to exclude {excluded:?}.");
-                wanted.push(Operation::SetPlacement {
+            if excluded != held.excluded && previous.as_ref() == Some(&excluded) {
+                log::info!("state: Changing the placement of {service} to exclude {excluded:?}.");
+                due.push(Operation::SetPlacement {
                     service,
                     base: held.version,
                     excluded,
                 });
             }
         }
-        wanted
+        due
     }
 
-    /// The endpoints of a service.
+    /// The endpoints of a service in any state.
     pub(super) fn endpoints_of<'a>(
         &'a self,
         service: &'a str,
@@ -79,7 +80,7 @@
         endpoints.filter(move |endpoint| endpoint.record.service == service)
     }
 
-    /// The verdicts on a service's endpoints; `None` without rules or evidence.
+    /// The verdicts on a service's endpoints, by endpoint key; `None` if there are no outlier rules or no observations.
     pub(super) fn verdicts(&self, service: &str) -> Option<BTreeMap<u32, Verdict>> {
         let (rules, detector) = (
             self.outlier_rules.get(service)?,
--- a/crates/beechcroft-control/src/state_owner/quorum_contact.rs
+++ b/crates/beechcroft-control/src/state_owner/quorum_contact.rs
@@ -1,8 +1,10 @@
-//! What a control node may do by itself: only while it is in contact with a majority of the replicas' nodes.
+//! Checks of quorum contact: what a control node may do only while it is in contact with a majority of the nodes that
+//! hold replicas.
 //!
-//! Reads need no such check: each goes through a round of ballots, which only a majority can complete. What no round
-//! stands behind needs it: heartbeats, drains and ends of units, where clients go, how rollouts go on. Operations would
-//! end in a round, too. They are rejected at once, so that their sender goes to another node and does not wait.
+//! Linearizable reads need no check, because each is a consensus round, which only a majority can complete. Decisions
+//! that no round confirms need it: acknowledging heartbeats, drains and deregistrations, resolving clients, advancing
+//! rollouts. Operations other than reads would also end in a round; they are rejected at once all the same, so that the
+//! caller turns to another node instead of waiting for a time-out.
 
 use super::command::Acknowledgement;
 use super::{Command, StateOwner, CLOCK_START_MS};
@@ -17,44 +19,46 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 
-/// Between two looks at who makes the quorum, in milliseconds.
+/// Interval between updates of the nodes that form the quorum, in milliseconds.
 const QUORUM_INTERVAL_MS: u64 = 100;
-/// For a majority to store a drain. The unit asks another node after a second.
+/// How long a majority may take to store a drain. It is below the second after which the unit retries on another node.
 const STORE_TIMEOUT: Duration = Duration::from_millis(700);
-/// At the first start of the whole system, until replicas are bootstrapped, in milliseconds.
+/// How long after the first start of the whole system operations wait for the replicas to be bootstrapped, in
+/// milliseconds.
 const BOOTSTRAP_MS: u64 = 3000;
 
-/// Gets the revisions of both registers, read from a majority.
+/// Receives the revisions of both registers as read from a majority.
 type RevisionsSender = oneshot::Sender<Result<PerRegister<Revision>, Error>>;
 
-/// Reads of both registers' revisions: those who ask while one is under way share the next.
+/// Linearizable reads of both registers' revisions. Callers that arrive while a read is in progress share the next one.
 #[derive(Default)]
 pub(super) struct RevisionReads {
     waiting: Vec<RevisionsSender>,
-    is_under_way: bool,
+    is_in_progress: bool,
 }
 
 impl StateOwner {
-    /// Looks up the nodes of the other replicas, and how many of them make a majority.
+    /// Updates the nodes that hold the other replicas, and the number of them that make a majority.
     pub(super) fn update_quorum(&mut self, now: u64) {
-        if now < self.quorum_updated_at {
+        if now < self.next_quorum_update_at {
             return;
         }
-        self.quorum_updated_at = now + QUORUM_INTERVAL_MS;
-        let (nodes, total, votes) = self.quorum_nodes();
+        self.next_quorum_update_at = now + QUORUM_INTERVAL_MS;
+        let (nodes, total, is_included) = self.quorum_nodes();
         let local = &self.gossip.local().name;
         let others = nodes.into_iter().filter(|name| name != local).collect();
-        let required = (total / 2 + 1).saturating_sub(usize::from(votes));
+        let required = (total / 2 + 1).saturating_sub(usize::from(is_included));
         self.quorum = Quorum { others, required };
         let endpoints = self.gossip.endpoints();
         self.stored_by_majority
             .retain(|id, _| endpoints.get(id).is_some());
     }
 
-    /// The nodes that hold replicas, how many replicas there are, and whether this node holds one.
+    /// The nodes that hold replicas, the number of replicas, and whether this node holds one. Before the replicas are
+    /// known, the nodes that may hold them take their place.
     fn quorum_nodes(&self) -> (BTreeSet<String>, usize, bool) {
         let has_replica = self.acceptor.identity().is_some();
-        if has_replica || self.membership.known().is_some() {
+        if has_replica || self.membership.known_replicas().is_some() {
             let replicas = self.replicas();
             let holders = replicas
                 .iter()
@@ -62,52 +66,56 @@
                 .collect();
             return (holders, replicas.len(), has_replica);
         }
-        // Replicas are not known: among the nodes that may hold some, a majority of as many as there will be.
+        // The replicas are not known yet: a majority of the number of replicas that there will be, among the nodes that
+        // are eligible.
         let members = self.gossip.members();
         let candidates = members.filter(|member| member.is_control && member.is_quorum_member);
         let candidates: BTreeSet<String> = candidates.map(|member| member.name.clone()).collect();
         let is_candidate = self.is_bootstrapping && self.settings.quorum_member;
-        let least = 2 * self.settings.fault_tolerance.node_losses + 1;
-        let total = least.max(candidates.len() + usize::from(is_candidate));
+        let min_total = 2 * self.settings.fault_tolerance.node_losses + 1;
+        let total = min_total.max(candidates.len() + usize::from(is_candidate));
         (candidates, total, is_candidate)
     }
 
     /// Whether this node is in contact with a majority.
     pub(super) fn has_quorum_contact(&self, now: u64) -> bool {
-        // Before the first look nobody has been pinged.
-        self.quorum_updated_at > 0 && self.gossip.has_quorum_contact(now, &self.quorum)
+        // Before the first update the quorum is empty, and no node has been pinged.
+        self.next_quorum_update_at > 0 && self.gossip.has_quorum_contact(now, &self.quorum)
     }
 
-    /// Whether this node does what one of those in contact has to do and any may.
+    /// Whether this node takes on the tasks that any one control node with quorum contact may do.
     pub(super) fn is_coordinator(&self, now: u64) -> bool {
         self.gossip.is_coordinator(now, &self.quorum)
     }
 
-    fn is_bootstrap_under_way(&self, now: u64) -> bool {
+    /// Whether the replicas may still be about to be bootstrapped.
+    fn is_bootstrap_in_progress(&self, now: u64) -> bool {
         self.acceptor.identity().is_none()
             && self.is_bootstrapping
             && now < CLOCK_START_MS + BOOTSTRAP_MS
     }
 
+    /// Rejects a call that needs quorum contact if there is none.
     fn check_may_serve(&self, now: u64) -> Acknowledgement {
         match self.has_quorum_contact(now) || !Safeguard::QuorumContactToServe.is_enabled() {
             true => Ok(()),
-            false => Err(Self::no_contact()),
+            false => Err(Self::no_quorum_contact()),
         }
     }
 
-    /// A node without contact proposes no operation but reads: the round of a read shows whether there is a majority.
+    /// Rejects an operation that this node must not propose. Without quorum contact it proposes only reads, because the
+    /// round of a read shows whether there is a majority.
     pub(super) fn check_may_propose(&self, now: u64, operation: &Operation) -> Acknowledgement {
         match (self.acceptor.identity(), operation) {
-            // At the first start operations wait for the replicas to be bootstrapped.
-            (None, _) if self.is_bootstrap_under_way(now) => Ok(()),
-            (None, _) => Err(Self::no_contact()),
+            // At the first start, operations wait for the replicas to be bootstrapped.
+            (None, _) if self.is_bootstrap_in_progress(now) => Ok(()),
+            (None, _) => Err(Self::no_quorum_contact()),
             (Some(_), Operation::Read) => Ok(()),
             (Some(_), _) => self.check_may_serve(now),
         }
     }
 
-    /// A unit's heartbeat.
+    /// Handles the heartbeat of a unit.
     pub(super) fn on_heartbeat(
         &mut self,
         now: u64,
@@ -122,7 +130,7 @@
         let (id, state) = (record.id.clone(), record.state);
         let is_changed = self.gossip.record_heartbeat(now, record) == MergeOutcome::Changed;
         self.checkpoint.endpoints_changed |= is_changed;
-        // Also when a drain is not new here: it may have come by way of a node that could not confirm it.
+        // A drain that is already known here may have arrived through a node that could not acknowledge it.
         let is_drain = state != EndpointState::Ready
             && (is_changed || Safeguard::RepeatedDrainOnMajority.is_enabled());
         if is_drain {
@@ -132,7 +140,7 @@
         }
     }
 
-    /// A unit ends.
+    /// Handles the deregistration of a unit.
     pub(super) fn on_deregister(
         &mut self,
         now: u64,
@@ -148,9 +156,9 @@
         self.store_on_majority(now, id, EndpointState::Gone, done, actions);
     }
 
-    /// A drain or an end is acknowledged once a majority of the control nodes stores it, this one among them if it holds
-    /// a replica. Then every proxy that is in contact with the control plane learns of it, whichever nodes are lost or cut
-    /// off afterwards.
+    /// Acknowledges a drain or deregistration once a majority of the control nodes has stored it, including this one if
+    /// it holds a replica. After that, every proxy that is in contact with the control plane learns of it, whichever
+    /// nodes are lost or isolated.
     fn store_on_majority(
         &mut self,
         now: u64,
@@ -159,8 +167,12 @@
         done: oneshot::Sender<Acknowledgement>,
         actions: &mut Vec<Action>,
     ) {
-        let is_needed = Safeguard::DrainOnMajority.is_enabled();
-        let required = if is_needed { self.quorum.required } else { 0 };
+        let needs_majority = Safeguard::DrainOnMajority.is_enabled();
+        let required = if needs_majority {
+            self.quorum.required
+        } else {
+            0
+        };
         let is_stored = self
             .stored_by_majority
             .get(id)
@@ -186,7 +198,8 @@
                 let _ = queue.send(Command::StoredByMajority { id, state });
                 Ok(())
             } else {
-                // Some may store it, and it may still be passed on: no promise that nothing was done.
+                // Some nodes may have stored it and may still disseminate it, so the error must not promise that the
+                // call had no effect.
                 Err(Error::new(
                     ErrorKind::NoQuorum,
                     "no majority of the core holds it yet",
@@ -196,7 +209,8 @@
         });
     }
 
-    /// Sends an endpoint's record to the other nodes of the quorum: a message for each that stores it.
+    /// Sends an endpoint's record to the other nodes of the quorum. The receiver gets one item for each node that has
+    /// stored it.
     fn send_endpoint_to_quorum(&self, record: Vec<u8>) -> mpsc::UnboundedReceiver<()> {
         let (sender, stored) = mpsc::unbounded_channel();
         let others = self
@@ -219,17 +233,17 @@
         stored
     }
 
-    /// A linearizable read of both registers' revisions: what was acknowledged before it was asked for is counted in. A
-    /// proxy that starts relies on nothing older.
+    /// Handles a linearizable read of both registers' revisions, which includes every operation acknowledged before the
+    /// read was requested. A proxy that starts becomes ready only with these revisions.
     pub(super) fn on_read_revisions(&mut self, now: u64, revisions: RevisionsSender) {
-        let has_none = self.gossip.revisions() == PerRegister::default();
-        if self.is_bootstrap_under_way(now) && self.has_quorum_contact(now) && has_none {
-            // No replicas yet, so nothing is chosen.
+        let holds_no_value = self.gossip.revisions() == PerRegister::default();
+        if self.is_bootstrap_in_progress(now) && self.has_quorum_contact(now) && holds_no_value {
+            // Without replicas, no value has been chosen.
             let _ = revisions.send(Ok(PerRegister::default()));
             return;
         }
         if self.acceptor.identity().is_none() || !self.has_quorum_contact(now) {
-            let _ = revisions.send(Err(Self::no_contact()));
+            let _ = revisions.send(Err(Self::no_quorum_contact()));
             return;
         }
         self.revision_reads.waiting.push(revisions);
@@ -237,22 +251,24 @@
     }
 
     pub(super) fn on_revisions_read(&mut self) {
-        self.revision_reads.is_under_way = false;
+        self.revision_reads.is_in_progress = false;
         self.read_revisions();
     }
 
     fn read_revisions(&mut self) {
-        if self.revision_reads.is_under_way || self.revision_reads.waiting.is_empty() {
+        if self.revision_reads.is_in_progress || self.revision_reads.waiting.is_empty() {
             return;
         }
-        self.revision_reads.is_under_way = true;
+        self.revision_reads.is_in_progress = true;
         let waiting = std::mem::take(&mut self.revision_reads.waiting);
         let reads = RegisterId::ALL.map(|register| self.propose_awaited_read(register));
         let queue = self.queue.clone();
         spawn_local(async move {
             let mut result = Ok(PerRegister::default());
             for (register, outcome) in RegisterId::ALL.into_iter().zip(reads) {
-                let outcome = outcome.await.unwrap_or_else(|_| Err(Self::no_contact()));
+                let outcome = outcome
+                    .await
+                    .unwrap_or_else(|_| Err(Self::no_quorum_contact()));
                 match (outcome, &mut result) {
                     (Ok(value), Ok(revisions)) => revisions[register] = value.revision,
                     (Err(error), Ok(_)) => result = Err(error),
--- a/crates/beechcroft-control/src/state_owner/resolve.rs
+++ b/crates/beechcroft-control/src/state_owner/resolve.rs
@@ -1,39 +1,42 @@
-//! Where clients go.
+//! Resolution: which proxies the directory names to clients.
 
 use super::StateOwner;
 use beechcroft_gossip::{Member, MemberState};
 use beechcroft_safeguards::Safeguard;
 use std::net::SocketAddrV4;
 
-/// For how long after the last message a control node names proxies, in milliseconds.
-const PEERS_HEARD_MS: u64 = 2500;
-/// A control node without contact names proxies that have written to it themselves, no longer ago than this, in
+/// How long after the last message from any node a control node still names proxies, in milliseconds.
+const PEER_CONTACT_WINDOW_MS: u64 = 2500;
+/// How long after the last message from a proxy a control node without quorum contact still names that proxy, in
 /// milliseconds.
-const PROXY_HEARD_MS: u64 = 10_000;
-/// Addresses of an answer.
+const PROXY_CONTACT_WINDOW_MS: u64 = 10_000;
+/// Maximum number of addresses in a response.
 const MAX_ADDRESSES: usize = 64;
 
 impl StateOwner {
-    /// The proxies that a client of a region goes to: the ready ones of its region, else all that are ready.
+    /// Ingress addresses for a client of a region: those of the ready proxies in the region, or of all ready proxies if
+    /// the region has none.
     ///
-    /// A control node that hears nobody names none: the proxies that it knows may long be gone, and its clients have
-    /// other control nodes. One that hears proxies but no majority is cut off together with them, and its clients may
-    /// have no other: it names those that have written to it themselves.
+    /// A control node that receives no messages names no proxy: those that it knows may be long gone, and its clients
+    /// can ask other control nodes. A control node that receives messages from proxies but has no quorum contact is
+    /// probably in the same partition as they are, and its clients may reach no other control node: it names the
+    /// proxies from which it has received messages directly.
     pub(super) fn resolve(&self, now: u64, region: &str) -> Vec<SocketAddrV4> {
         let is_recent = |at: u64, within: u64| now <= at.saturating_add(within);
-        let hears_peers = is_recent(self.gossip.last_heard_at(), PEERS_HEARD_MS);
-        if !hears_peers && Safeguard::PeersHeardBeforeResolve.is_enabled() {
+        let has_peer_contact = is_recent(self.gossip.last_heard_at(), PEER_CONTACT_WINDOW_MS);
+        if !has_peer_contact && Safeguard::PeersHeardBeforeResolve.is_enabled() {
             return Vec::new();
         }
-        let has_contact = self.has_quorum_contact(now);
-        let is_named = |member: &&Member| {
+        let has_quorum_contact = self.has_quorum_contact(now);
+        let is_usable = |member: &&Member| {
             let heard_at = self.gossip.member_heard_at(&member.name);
             member.state == MemberState::Ready
-                && (has_contact || is_recent(heard_at, PROXY_HEARD_MS))
+                && (has_quorum_contact || is_recent(heard_at, PROXY_CONTACT_WINDOW_MS))
         };
-        let ready = || self.gossip.live_members().filter(is_named);
-        let near = ready().filter(|member| member.region == region);
-        let mut addresses: Vec<SocketAddrV4> = near.filter_map(|member| member.ingress).collect();
+        let ready = || self.gossip.live_members().filter(is_usable);
+        let in_region = ready().filter(|member| member.region == region);
+        let mut addresses: Vec<SocketAddrV4> =
+            in_region.filter_map(|member| member.ingress).collect();
         if addresses.is_empty() {
             addresses = ready().filter_map(|member| member.ingress).collect();
         }
--- a/crates/beechcroft-control/src/state_owner/rollouts.rs
+++ b/crates/beechcroft-control/src/state_owner/rollouts.rs
@@ -1,4 +1,4 @@
-//! Rollouts: base versions, how a rollout goes on, and its rollback.
+//! Rollouts: base versions, progression of the stages, and rollback.
 
 use super::StateOwner;
 use beechcroft_consensus::{Operation, Rollout, Stage};
@@ -10,39 +10,46 @@
 use beechcroft_rollout::TrialCount;
 use std::collections::BTreeMap;
 
-/// For how long a service's endpoints are watched before its base version is recorded, in milliseconds.
+/// How long a service's endpoints are watched before its base version is recorded, in milliseconds.
 const BASE_VERSION_DELAY_MS: u64 = 1200;
-/// An alarm update younger than this says nothing of the request rate, in milliseconds.
+/// Minimum period over which the request rate of an alarm update is computed, in milliseconds. A shorter period would
+/// give a meaningless rate.
 const MIN_RATE_MS: u32 = 500;
 
-/// What this control node has seen of a rollout's stage.
+/// The stage of a rollout as observed by this control node.
 #[derive(Clone, Copy)]
-pub(super) struct StageSeen {
+pub(super) struct ObservedStage {
     rollout: u64,
     stage: u8,
+    /// Time at which this node first observed the stage.
     since: u64,
-    /// What the earlier stages came to, if this node saw them.
+    /// Totals of the earlier stages, if this node has observed all of them.
     earlier: Option<EarlierStages>,
-    /// What they come to together with this one.
+    /// Totals of the earlier stages and this one.
     totals: Option<EarlierStages>,
 }
 
-impl StageSeen {
-    /// The stage that a rollout is in now, after what was seen before.
-    fn next(seen: Option<StageSeen>, rollout: &Rollout, stage: u8, now: u64) -> StageSeen {
-        let seen = seen.filter(|seen| seen.rollout == rollout.id);
-        if let Some(seen) = seen.filter(|seen| seen.stage == stage) {
-            return seen;
+impl ObservedStage {
+    /// The observation of a rollout that is now in `stage`, given the previous observation.
+    fn next(
+        previous: Option<ObservedStage>,
+        rollout: &Rollout,
+        stage: u8,
+        now: u64,
+    ) -> ObservedStage {
+        let previous = previous.filter(|observed| observed.rollout == rollout.id);
+        if let Some(current) = previous.filter(|observed| observed.stage == stage) {
+            return current;
         }
-        let last = seen
-            .filter(|seen| seen.stage + 1 == stage)
-            .and_then(|seen| seen.totals);
+        let previous_totals = previous
+            .filter(|observed| observed.stage + 1 == stage)
+            .and_then(|observed| observed.totals);
         let earlier = if stage == 0 {
             Some(EarlierStages::default())
         } else {
-            last
+            previous_totals
         };
-        StageSeen {
+        ObservedStage {
             rollout: rollout.id,
             stage,
             since: now,
@@ -53,13 +60,12 @@
 }
 
 impl StateOwner {
-    /// Records the version that each service runs before any rollout: what most of its endpoints ran when they were first
-    /// seen.
+    /// Records the base version of each service that has none: the version that most of its ready endpoints run.
     pub(super) fn record_base_versions(&mut self, now: u64) {
         let versions = self.versions_without_base();
-        self.without_base_version
+        self.base_version_missing_since
             .retain(|service, _| versions.contains_key(service));
-        // One control node does it; another one does once that one has not.
+        // The coordinator records it; any other node does if the coordinator has not done so for some time.
         let grace = if self.is_coordinator(now) {
             0
         } else {
@@ -68,19 +74,19 @@
         let mut due = Vec::new();
         for (service, counts) in versions {
             let since = *self
-                .without_base_version
+                .base_version_missing_since
                 .entry(service.clone())
                 .or_insert(now);
             let is_due = now >= since + grace + BASE_VERSION_DELAY_MS;
-            let most = counts
+            let most_common = counts
                 .into_iter()
                 .max_by(|a, b| a.1.cmp(&b.1).then(b.0.cmp(&a.0)));
-            if let Some((version, _)) = most.filter(|_| is_due) {
+            if let Some((version, _)) = most_common.filter(|_| is_due) {
                 due.push(Operation::SetBaseVersion { service, version });
             }
         }
         if !due.is_empty() {
-            self.without_base_version
+            self.base_version_missing_since
                 .values_mut()
                 .for_each(|since| *since = now);
         }
@@ -89,7 +95,7 @@
         }
     }
 
-    /// Of each service without a base version: how many ready endpoints run which version.
+    /// Number of ready endpoints by version, for each configured service without a base version.
     fn versions_without_base(&self) -> BTreeMap<String, BTreeMap<String, usize>> {
         let mut versions: BTreeMap<String, BTreeMap<String, usize>> = BTreeMap::new();
         for endpoint in self.gossip.endpoints().iter() {
@@ -104,8 +110,8 @@
         versions
     }
 
-    /// One of the control nodes advances rollouts; another one does once that one is gone or without contact. All of them
-    /// see what each stage comes to.
+    /// Advances rollouts if this node is the coordinator. All control nodes keep the totals of each stage, so that any
+    /// of them can continue as the coordinator.
     pub(super) fn advance_rollouts(&mut self, now: u64) {
         let is_coordinator = self.is_coordinator(now);
         let mut due = Vec::new();
@@ -113,12 +119,12 @@
             let Stage::Active(stage) = rollout.stage else {
                 continue;
             };
-            let seen = self.stages.get(service).copied();
-            let seen = StageSeen::next(seen, rollout, stage, now);
-            let view = self.stage_view(now, service, rollout, &seen);
-            let totals = seen.earlier.map(|_| view.totals());
-            self.stages
-                .insert(service.clone(), StageSeen { totals, ..seen });
+            let previous = self.observed_stages.get(service).copied();
+            let observed = ObservedStage::next(previous, rollout, stage, now);
+            let view = self.stage_view(now, service, rollout, &observed);
+            let totals = observed.earlier.map(|_| view.totals());
+            self.observed_stages
+                .insert(service.clone(), ObservedStage { totals, ..observed });
             if !is_coordinator {
                 continue;
             }
@@ -128,7 +134,9 @@
                 Decision::Complete => Stage::Complete,
                 Decision::Revert => Stage::Reverted,
             };
-            log::info!("state: The rollout of {service} goes from {stage} to {to:?}: {view:?}.");
+            log::info!(
+                "state: Moving the rollout of {service} from stage {stage} to {to:?}: {view:?}."
+            );
             due.push(Operation::AdvanceRollout {
                 service: service.clone(),
                 rollout: rollout.id,
@@ -141,26 +149,27 @@
         }
     }
 
-    /// What all proxies report of a rollout's stage, and the endpoints of both versions.
+    /// The reports of all proxies on a rollout's stage, summed, with the capacity of the endpoints of both versions.
     fn stage_view(
         &self,
         now: u64,
         service: &str,
         rollout: &Rollout,
-        seen: &StageSeen,
+        observed: &ObservedStage,
     ) -> StageView {
         let bounds = &self.settings.bounds;
         let mut view = StageView {
-            stage: seen.stage,
-            stage_ms: now - seen.since,
+            stage: observed.stage,
+            stage_ms: now - observed.since,
             ramp_ms: rollout.ramp_ms,
-            earlier: seen.earlier,
+            earlier: observed.earlier,
             canary_share: bounds.canary_share,
             canary_margin: bounds.canary_margin,
             ..StageView::default()
         };
-        let is_current =
-            |update: &&AlarmUpdate| (update.rollout, update.stage) == (seen.rollout, seen.stage);
+        let is_current = |update: &&AlarmUpdate| {
+            (update.rollout, update.stage) == (observed.rollout, observed.stage)
+        };
         let updates: Vec<&AlarmUpdate> = self
             .gossip
             .alarms(now, service)
@@ -171,6 +180,7 @@
         view
     }
 
+    /// Adds the capacity of the ready and warm endpoints of both versions.
     fn add_slots(&self, view: &mut StageView, now: u64, service: &str, target: &str) {
         for endpoint in self.endpoints_of(service) {
             let record = &endpoint.record;
@@ -185,10 +195,10 @@
         }
     }
 
-    /// A proxy votes to roll back.
+    /// Rolls back a rollout on the vote of a proxy.
     pub(super) fn on_rollback(&mut self, service: &str, id: u64) {
-        // The proxy has sent its vote to every control node: one that reaches a majority carries it out, and none does
-        // later when it is back.
+        // The proxy sends its vote to every control node. Those in contact with a majority carry it out; one that is
+        // not must not do so later, once it is in contact again.
         if !self.has_quorum_contact(self.now()) {
             return;
         }
@@ -203,7 +213,7 @@
         if !matches!(from, Stage::Active(_)) {
             return;
         }
-        log::info!("state: The rollout of {service} is rolled back.");
+        log::info!("state: Rolling back the rollout of {service}.");
         let to = Stage::Reverted;
         let service = service.to_owned();
         self.propose(Operation::AdvanceRollout {
@@ -215,14 +225,14 @@
     }
 }
 
-/// Sums what proxies report.
+/// Adds the reports of proxies to a view of a rollout's stage.
 fn add_updates(view: &mut StageView, updates: &[&AlarmUpdate]) {
     let mut endpoints = BTreeMap::<u16, TrialCount>::new();
     for update in updates {
         view.trials += update.trials;
         view.failures += update.failures;
         view.requests += update.requests;
-        // An update is up to a second old: what it counts came in the time that it states.
+        // An update is up to a second old, so the rate is computed over the period that the update itself states.
         let counted_ms = f64::from(update.stage_ms.max(MIN_RATE_MS));
         view.request_rate += f64::from(update.requests) / counted_ms * 1000.0;
         for count in &update.endpoints {
@@ -234,7 +244,8 @@
         view.baseline_in_flight += update.baseline_in_flight;
         view.baseline_failure_rate += f64::from(update.baseline_failure_rate);
     }
-    // A control node that was just started does not know how long a stage has lasted; most proxies do.
+    // A control node that has just started does not know the age of the stage, so the median of the proxies' ages
+    // counts if it is greater.
     let mut ages: Vec<u64> = updates
         .iter()
         .map(|update| u64::from(update.stage_ms))
--- a/crates/beechcroft-control/src/state_owner/show.rs
+++ b/crates/beechcroft-control/src/state_owner/show.rs
@@ -1,11 +1,11 @@
-//! What a running control node tells its operator.
+//! Text output of `show` and `why` for the operator of a running control node.
 
 use super::StateOwner;
 use beechcroft_outlier::{endpoint_key, Verdict};
 use std::fmt::Write;
 
 impl StateOwner {
-    /// The evidence on an endpoint, and what its service's rules make of it.
+    /// Describes the evidence on an endpoint, and the verdict by the outlier rules of its service.
     pub(super) fn show_evidence(&self, id: &str) -> String {
         let Some(endpoint) = self.gossip.endpoints().get(id) else {
             return format!("no unit {id} is known\n");
@@ -18,7 +18,7 @@
         );
         let Some(rules) = self.outlier_rules.get(service) else {
             return text
-                + "its service has no rules on unhealthy units: each proxy decides by its own failures\n";
+                + "its service has no outlier rules: each proxy decides by its own failures\n";
         };
         let key = endpoint_key(id);
         let verdicts = self.verdicts(service).unwrap_or_default();
@@ -47,7 +47,7 @@
         text
     }
 
-    /// Everything that the node knows.
+    /// Describes the state of the node: replicas, members, endpoints and operations.
     pub(super) fn show(&self) -> String {
         let now = self.now();
         let mut text = format!(
@@ -76,7 +76,7 @@
         text
     }
 
-    /// The replica that this node holds, and who holds the others, as it knows it.
+    /// Describes the replica that this node holds, and the holder of each replica as far as this node knows.
     fn show_replica(&self) -> String {
         let mut text = match (self.acceptor.identity(), self.acceptor.former_identity()) {
             (Some(held), _) if self.is_voting() => {
--- a/crates/beechcroft-control/tests/compatibility/values.rs
+++ b/crates/beechcroft-control/tests/compatibility/values.rs
@@ -1,4 +1,4 @@
-//! The values that the fixtures hold: every variant and every field, none at its default.
+//! The values of the fixtures: every variant and every field, none at its default.
 
 use beechcroft_consensus::{
     AcceptedValue, Ballot, ConfigStore, Epoch, Epochs, Holder, Operation, OperationsState,
@@ -56,7 +56,7 @@
     }
 }
 
-/// A configuration that was taken after another one.
+/// A configuration that has replaced an earlier one.
 pub fn config_store() -> ConfigStore {
     let mut store = ConfigStore::default();
     let first = Operation::ReplaceConfig {
@@ -72,7 +72,7 @@
     store
 }
 
-/// Rollouts in each stage, an evacuated zone, a base version and a placement.
+/// A state with rollouts that are active, complete and reverted, an evacuated zone, a base version and a placement.
 pub fn operations_state() -> OperationsState {
     let mut state = OperationsState::default();
     let mut rng = Pcg64Mcg::seed_from_u64(5);
@@ -365,7 +365,7 @@
     }
 }
 
-/// One of each kind.
+/// Items of every kind, with members and endpoints in each state.
 pub fn items() -> Vec<Item> {
     let heartbeat = Heartbeat {
         id: "i-7".into(),
@@ -407,7 +407,7 @@
     ]
 }
 
-/// A message with everything that one may hold.
+/// A message with every optional part.
 pub fn message(items: Vec<Item>) -> Message {
     let sender = Sender {
         name: "edge-rennes-1".into(),
--- a/crates/beechcroft-gossip/tests/quorum_reads.rs
+++ b/crates/beechcroft-gossip/tests/quorum_reads.rs
@@ -42,8 +42,8 @@
     messages.next().expect("a ping to the seed")
 }
 
-/// A proxy receives a quorum read at 1 s and is stalled until 11 s. It then reads a message that was sent at 2 s, before
-/// or after its first tick. Returns the time of the quorum read that it holds afterwards.
+/// A proxy receives a quorum read at 1 s and is stalled until 11 s. It then reads a message that was sent at 2 s,
+/// before or after its first tick. Returns the time of the quorum read that it holds afterwards.
 fn quorum_read_after_stall(tick_first: bool) -> Option<u64> {
     let (mut control_node, mut proxy, mut actions) = (node(1), node(2), Vec::new());
     let from = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), PORT);
