--- a/crates/beechcroft-control/src/state_owner/consensus.rs
+++ b/crates/beechcroft-control/src/state_owner/consensus.rs
@@ -27,7 +27,7 @@
 /// difference allows for the transit time of the request and for a stall of this process that is too short to be
 /// detected.
 const UNCONDITIONAL_TIMEOUT_MS: u64 = 700;
-/// Delay between the rereads of one control node and the next, in milliseconds.
+/// Offset between the rereads of one control node and those of the next by name, in milliseconds.
 const REREAD_STAGGER_MS: u64 = 120;
 
 /// Operations that were passed to this node's proposer.
--- a/crates/beechcroft-control/src/state_owner/membership.rs
+++ b/crates/beechcroft-control/src/state_owner/membership.rs
@@ -94,10 +94,10 @@
         replica: &str,
         ballot: Ballot,
     ) {
-        let held = self.accepted_by[register]
+        let highest = self.accepted_by[register]
             .entry(replica.to_owned())
             .or_default();
-        *held = (*held).max(ballot);
+        *highest = (*highest).max(ballot);
     }
 }
 
@@ -356,12 +356,12 @@
         let local = &self.gossip.local().name;
         let known = self.membership.known_replicas.as_ref()?;
         let holder = |replica: &str| known.epochs.holder(replica);
-        if let Some(held) = known
+        if let Some(own) = known
             .replicas
             .iter()
             .find(|replica| holder(replica) == *local)
         {
-            return Some(held.clone());
+            return Some(own.clone());
         }
         // Without quorum contact, this node cannot tell which other nodes are down.
         if !has_contact {
--- a/crates/beechcroft-control/src/state_owner/placement.rs
+++ b/crates/beechcroft-control/src/state_owner/placement.rs
@@ -50,7 +50,7 @@
                 .endpoints_of(&service)
                 .map(|endpoint| endpoint.record.id.clone());
             let excluded: BTreeSet<String> = ids.filter(is_unhealthy).collect();
-            let held = self
+            let current = self
                 .operations
                 .placements
                 .get(&service)
@@ -59,11 +59,11 @@
             let previous = self
                 .pending_exclusions
                 .insert(service.clone(), excluded.clone());
-            if excluded != held.excluded && previous.as_ref() == Some(&excluded) {
+            if excluded != current.excluded && previous.as_ref() == Some(&excluded) {
                 log::info!("state: Changing the placement of {service} to exclude {excluded:?}.");
                 due.push(Operation::SetPlacement {
                     service,
-                    base: held.version,
+                    base: current.version,
                     excluded,
                 });
             }
--- a/crates/beechcroft-control/src/state_owner/quorum_contact.rs
+++ b/crates/beechcroft-control/src/state_owner/quorum_contact.rs
@@ -176,7 +176,7 @@
         let is_stored = self
             .stored_by_majority
             .get(id)
-            .is_some_and(|held| *held >= state);
+            .is_some_and(|known| *known >= state);
         let record = self.gossip.endpoints().record(now, id);
         let Some(record) = record.filter(|_| !is_stored && required > 0) else {
             let _ = done.send(Ok(()));
--- a/crates/beechcroft-control/src/state_owner/rollouts.rs
+++ b/crates/beechcroft-control/src/state_owner/rollouts.rs
@@ -206,8 +206,8 @@
             .operations
             .rollouts
             .get(service)
-            .filter(|held| held.id == id);
-        let Some(from) = rollout.map(|held| held.stage) else {
+            .filter(|rollout| rollout.id == id);
+        let Some(from) = rollout.map(|rollout| rollout.stage) else {
             return;
         };
         if !matches!(from, Stage::Active(_)) {
--- a/crates/beechcroft-control/src/state_owner/show.rs
+++ b/crates/beechcroft-control/src/state_owner/show.rs
@@ -79,8 +79,8 @@
     /// Describes the replica that this node holds, and the holder of each replica as far as this node knows.
     fn show_replica(&self) -> String {
         let mut text = match (self.acceptor.identity(), self.acceptor.former_identity()) {
-            (Some(held), _) if self.is_voting() => {
-                format!("replica {} at epoch {}\n", held.replica, held.epoch)
+            (Some(identity), _) if self.is_voting() => {
+                format!("replica {} at epoch {}\n", identity.replica, identity.epoch)
             }
             (None, Some(former)) => format!("replica none, formerly {}\n", former.replica),
             _ => "replica none\n".to_owned(),
--- a/crates/beechcroft-gossip/src/contact.rs
+++ b/crates/beechcroft-gossip/src/contact.rs
@@ -67,7 +67,7 @@
         self.pinged_at
             .retain(|name, _| quorum.others.contains(name));
         let interval = |name: &String| match self.answers.get(name) {
-            Some(held) if now.saturating_sub(held.sent_at) <= 2 * PING_INTERVAL_MS => {
+            Some(answer) if now.saturating_sub(answer.sent_at) <= 2 * PING_INTERVAL_MS => {
                 PING_INTERVAL_MS
             }
             _ => RETRY_INTERVAL_MS,
@@ -101,7 +101,7 @@
         if self
             .answers
             .get(name)
-            .is_none_or(|held| held.sent_at <= sent_at)
+            .is_none_or(|answer| answer.sent_at <= sent_at)
         {
             self.answers.insert(
                 name.to_owned(),
@@ -134,7 +134,7 @@
             .others
             .iter()
             .filter_map(|name| Some((name, *self.answers.get(name)?)));
-        answers.filter(move |(_, held)| now <= held.sent_at.saturating_add(CONTACT_TIMEOUT_MS))
+        answers.filter(move |(_, answer)| now <= answer.sent_at.saturating_add(CONTACT_TIMEOUT_MS))
     }
 
     /// Nodes that have answered recently and reported to be in contact with a quorum themselves.
@@ -144,7 +144,7 @@
         quorum: &'a Quorum,
     ) -> impl Iterator<Item = &'a String> {
         self.recent_answers(now, quorum)
-            .filter(|(_, held)| held.in_contact)
+            .filter(|(_, answer)| answer.in_contact)
             .map(|(name, _)| name)
     }
 
--- a/crates/beechcroft-gossip/src/gossip.rs
+++ b/crates/beechcroft-gossip/src/gossip.rs
@@ -383,7 +383,7 @@
     /// this node holds that revision; otherwise the node would act on older state.
     pub fn record_quorum_read(&mut self, at: u64, revision: Revision) {
         let is_held = self.revisions[RegisterId::Operations] >= revision;
-        if is_held && self.quorum_read.is_none_or(|held| held.at < at) {
+        if is_held && self.quorum_read.is_none_or(|known| known.at < at) {
             self.quorum_read = Some(QuorumRead { at, revision });
         }
     }
--- a/crates/beechcroft-gossip/src/receive.rs
+++ b/crates/beechcroft-gossip/src/receive.rs
@@ -195,8 +195,8 @@
     fn merge_alarm(&mut self, now: u64, update: AlarmUpdate, actions: &mut Vec<Action>) {
         let key = (update.proxy.clone(), update.service.clone());
         let number = |update: &AlarmUpdate| (update.incarnation, update.sequence);
-        let held = self.alarms.get(&key);
-        let is_new = held.is_none_or(|held| number(&update) > number(&held.update));
+        let latest = self.alarms.get(&key);
+        let is_new = latest.is_none_or(|latest| number(&update) > number(&latest.update));
         if is_new && update.proxy != self.local.name {
             self.alarms.insert(
                 key,
@@ -218,7 +218,7 @@
         let is_new = self
             .hot_keys_seen
             .get(&key)
-            .is_none_or(|&held| held < number);
+            .is_none_or(|&latest| latest < number);
         if is_same_region && is_new {
             self.hot_keys_seen.insert(key, number);
             self.enqueue(Update::HotKeys(update.clone()));
@@ -232,7 +232,7 @@
         let is_new = self
             .observations_seen
             .get(&key)
-            .is_none_or(|&held| held < number);
+            .is_none_or(|&latest| latest < number);
         if observation.proxy != self.local.name && is_new {
             self.observations_seen.insert(key, number);
             self.enqueue(Update::Observation(observation.clone()));
