--- a/crates/beechcroft-adapter/src/main.rs
+++ b/crates/beechcroft-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs relays for the simulator: one [`Relay`](beechcroft::decide::Relay) for each `who` of its line protocol on standard
-//! input and output. Only decodes and encodes; all decisions are made in the relay.
+//! Runs relays for the simulator: one [`Relay`](beechcroft::decide::Relay) for each `who` of its line protocol on
+//! standard input and output. Only decodes and encodes; all decisions are made in the relay.
 
 mod wire;
 
--- a/crates/beechcroft-adapter/tests/wire.rs
+++ b/crates/beechcroft-adapter/tests/wire.rs
@@ -1,5 +1,5 @@
-//! The adapter as a process, as the simulator runs it: lines in, lines out, and one line on standard error for malformed
-//! input.
+//! The adapter as a process, as the simulator runs it: lines in, lines out, and one line on standard error for
+//! malformed input.
 
 use expect_test::expect;
 use std::io::Write;
--- a/crates/beechcroft-core/src/actor.rs
+++ b/crates/beechcroft-core/src/actor.rs
@@ -16,8 +16,8 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::{info, warn};
 
-/// The relay's clock: Unix time at start, monotonic from then on, so that it compares with times in the list and never
-/// goes back.
+/// The relay's clock: Unix time at start, monotonic from then on, so that it compares with times in the list and
+/// never goes back.
 #[derive(Clone, Copy)]
 pub struct Clock {
     began: Instant,
--- a/crates/beechcroft-core/src/lib.rs
+++ b/crates/beechcroft-core/src/lib.rs
@@ -1,5 +1,5 @@
-//! The actor that owns a relay's decisions ([`beechcroft::decide::Relay`]) with its open tasks and timers, and the events
-//! that it receives. It makes no decisions and opens no sockets: an [`Outbound`] carries out its actions.
+//! The actor that owns a relay's decisions ([`beechcroft::decide::Relay`]) with its open tasks and timers, and the
+//! events that it receives. It makes no decisions and opens no sockets: an [`Outbound`] carries out its actions.
 
 pub mod actor;
 pub mod list;
--- a/crates/beechcroft-core/src/list.rs
+++ b/crates/beechcroft-core/src/list.rs
@@ -41,7 +41,7 @@
 pub struct UnitEndpoint {
     /// Address that tasks are sent to.
     pub address: SocketAddr,
-    /// Start of its process in Unix time, where the list tells.
+    /// Start of its process in Unix time, if listed.
     pub started: Option<Duration>,
     /// Whether it takes no new tasks.
     pub draining: bool,
--- a/crates/beechcroft-core/src/tasks.rs
+++ b/crates/beechcroft-core/src/tasks.rs
@@ -1,5 +1,5 @@
-//! Open tasks: who waits for the answer, and which dispatch is in flight. A task is kept until it is answered and has no
-//! dispatch in flight.
+//! Open tasks: who waits for the answer, and which dispatch is in flight. A task is kept until it is answered and
+//! has no dispatch in flight.
 
 use crate::request::{TaskAnswer, TaskRequest};
 use beechcroft::{DispatchNo, TaskId, TrackId};
@@ -14,7 +14,7 @@
     pub id: TaskId,
     /// Its track.
     pub track: TrackId,
-    /// What the client tells about it.
+    /// Its optional attributes.
     pub hints: Hints,
     /// When the client gives up.
     pub deadline: Instant,
@@ -90,8 +90,8 @@
         self.remove_if_done(id);
     }
 
-    /// Notes that a client that waited for this id has left. Returns whether it was the task's own client, not one whose
-    /// task was rejected because the id was open. The task's own client gets no answer any more.
+    /// Notes that a client that waited for this id has left. Returns whether it was the task's own client, not one
+    /// whose task was rejected because the id was open. The task's own client gets no answer any more.
     pub fn client_disconnected(&mut self, id: &TaskId) -> bool {
         let Some(open) = self.0.get_mut(id) else {
             return false;
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -139,8 +139,8 @@
     }
 }
 
-/// Answers each call with one line. To a client that listens, it sends the state of the rollout and a ping every second.
-/// A single vote to abort withdraws build 2.
+/// Answers each call with one line. To a client that listens, it sends the state of the rollout and a ping every
+/// second. A single vote to abort withdraws build 2.
 fn platform(mut stream: TcpStream) {
     let began = Instant::now();
     let state = move || {
--- a/src/cusum.rs
+++ b/src/cusum.rs
@@ -1,5 +1,5 @@
-//! The detection mechanism of the paper: log likelihood ratios, the running sum (CUSUM), its threshold, and the fusion
-//! of alarm bits. Used by [`crate::decide`] in the relay in service, and by `beechcroft-rollout` and
+//! The detection mechanism of the paper: log likelihood ratios, the running sum (CUSUM), its threshold, and the
+//! fusion of alarm bits. Used by [`crate::decide`] in the relay in service, and by `beechcroft-rollout` and
 //! `beechcroft-outlier` in the system.
 
 /// Gamma: the mean time between false alarms is 10^4 ticks. This is ln 10^4, in nats.
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,8 +1,9 @@
-//! All decisions of the relay in service. The owner of [`Relay`] (`beechcroft-core`, or the adapter of the simulator)
-//! sets the time with [`Relay::set_time`] and calls one method for each event; the relay acts through [`Actions`].
+//! All decisions of the relay in service. The owner of [`Relay`] (`beechcroft-core`, or the adapter of the
+//! simulator) sets the time with [`Relay::set_time`] and calls one method for each event; the relay acts through
+//! [`Actions`].
 //!
-//! Tasks pass through the request stages of `PIPELINE` in order, their outcomes through the outcome stages in reverse.
-//! Every dispatch passes `Relay::may_dispatch`, and every final answer other than a unit's own is given by
+//! Tasks pass through the request stages of `PIPELINE` in order, their outcomes through the outcome stages in
+//! reverse. Every dispatch passes `Relay::may_dispatch`, and every final answer other than a unit's own is given by
 //! `Relay::finish`. Comments that begin with "Departure" mark where the code departs from the paper's mechanism
 //! (`docs/design.md`).
 
@@ -26,8 +27,8 @@
 
 /// Interval between two evaluations of the sums.
 const TICK: Duration = Duration::from_millis(100);
-/// M: the weighted sum of alarm bits at which relays vote a build back. The design leaves it open; docs/design.md says
-/// why it is not 2.
+/// M: the weighted sum of alarm bits at which relays vote a build back. The design leaves it open; docs/design.md
+/// says why it is not 2.
 const ALARMS_M: f64 = 1.0;
 /// Share of the exposure cap that is used where the task can also go to the earlier build.
 const EXPOSURE_TARGET_SHARE: f64 = 0.8;
@@ -205,6 +206,7 @@
         self.run_pipeline(task, actions);
     }
 
+    /// Runs the request stages until the task is dispatched or answered.
     fn run_pipeline(&mut self, mut task: Task, actions: DynActions) {
         for (stage, _) in PIPELINE {
             match stage(self, &mut task, actions) {
@@ -215,8 +217,8 @@
         }
     }
 
-    /// Gives the final answer of a task that no unit has handled: a nack where its client can safely try again, else a
-    /// termination.
+    /// Gives the final answer of a task that no unit has handled: a nack where its client can safely try again,
+    /// else a termination.
     fn finish(&mut self, task: Task, actions: DynActions) {
         let safe_to_retry = match self.tracks[task.track.0].effect {
             Effect::Idempotent
@@ -255,8 +257,8 @@
         }
     }
 
-    /// Takes the end of a dispatch; `settled` if the client has its answer or has left. A task that is not settled goes
-    /// through the pipeline again.
+    /// Takes the end of a dispatch; `settled` if the client has its answer or has left. A task that is not settled
+    /// goes through the pipeline again.
     pub fn dispatch_ended(
         &mut self,
         id: &TaskId,
@@ -347,6 +349,9 @@
             .any(|(own, best)| own > HIGH_FAILURE_SHARE && best < own / 2.0)
     }
 
+    /// Ejects the unit after a streak of failures, or many recent ones, that the fleet's own failure rate does not
+    /// explain. The first ejection lasts 1 s; each further one without an answer in between twice as long, up to 8
+    /// s.
     fn update_ejection(&mut self, report: &OutcomeReport) {
         let unit = &mut self.fleet.units[report.unit];
         // A task that failed elsewhere before may fail on any unit: its failure is no evidence about this one.
@@ -372,8 +377,8 @@
         if !(streak || often) || self.now < unit.ejected_until {
             return;
         }
-        // Where more than a share of a build's units fail, the cause is not in the units. Units that refuse connections
-        // run nothing, so any number of them may be ejected.
+        // Where more than a share of a build's units fail, the cause is not in the units. Units that refuse
+        // connections run nothing, so any number of them may be ejected.
         let of_build = || self.fleet.ready_of(self.fleet.units[report.unit].build);
         let ejected = of_build()
             .filter(|unit| self.now < unit.ejected_until)
@@ -387,6 +392,8 @@
         }
     }
 
+    /// Records how the response time compares with the quoted time and, for the earlier build, the response time
+    /// itself.
     fn update_latencies(&mut self, report: &OutcomeReport) {
         // A time-out on a unit that still answers other tasks shows load, as a slow answer does.
         let silent = self.fleet.units[report.unit].failure_streak >= EJECTION_STREAK;
@@ -458,6 +465,7 @@
         }
     }
 
+    /// Updates the rates, the limit of dispatches in flight, and the exposure counts at the end of a tick.
     fn update_meter(&mut self) {
         self.rank_units();
         self.meter.baseline_window =
@@ -470,8 +478,9 @@
         meter
             .arrival_rate
             .add(std::mem::take(&mut meter.arrivals), TICK, RATE_SPAN);
-        // Under overload, Little's law gives the number in flight whose response time is the permitted part of the quoted
-        // time; at least this relay's part of two tasks per unit.
+        // `part` is this relay's part of two tasks per unit. Without overload, the limit grows by 3% and a tenth of
+        // `part` a tick, up to 16 tasks per unit. Under overload, Little's law gives the number in flight whose
+        // response time is the permitted part of the quoted time, at least `part`.
         let part = (count * 2.0 / f64::from(self.params.relays)).max(1.0);
         meter.in_flight_limit = (meter.in_flight_limit * 1.03 + 0.1 * part).min(count * 16.0);
         if meter.latency_ratio > OVERLOAD_LATENCY_RATIO {
--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -46,8 +46,8 @@
             .filter(|&at| self.may_dispatch(task, at, false))
             .collect();
         let on_trial = |at: usize| self.exposure_cap(self.fleet.units[at].build).is_some();
-        // Warm capacity, in units, of those candidates of either side that may get tasks now. A unit on trial is to get
-        // as many tasks as one of the earlier build.
+        // Warm capacity, in units, of those candidates of either side that may get tasks now. A unit on trial is to
+        // get as many tasks as one of the earlier build.
         let ready = |trial: bool| -> f64 {
             let units = candidates
                 .iter()
@@ -59,7 +59,8 @@
                 .sum()
         };
         let (new, old) = (ready(true), ready(false));
-        // The higher the load, the more evenly both sides share it: the tasks admitted then fit the capacity of both.
+        // The higher the load, the more evenly both sides share it: the tasks admitted then fit the capacity of
+        // both.
         let busy = (self.meter.latency_ratio / OVERLOAD_LATENCY_RATIO * 2.0 - 1.0).clamp(0.0, 1.0);
         let total = old.max(new) + old.min(new) * if self.params.in_place { 1.0 } else { busy };
         let to_trial = task.failed_on.is_none() && chance * total < new;
@@ -86,7 +87,8 @@
             )
         };
         candidates.retain(|&at| on_trial(at) == to_trial);
-        // A relay that uses a subset sends only a small part of a unit's tasks, so the units' own load reports count.
+        // A relay that uses a subset sends only a small part of a unit's tasks, so the units' own load reports
+        // count.
         let subset_width = width(if to_trial {
             trial_part
         } else {
@@ -164,8 +166,8 @@
             task.quoted_deadline
         }
         .saturating_sub(self.now);
-        // Departure: where few tasks take half of the quoted time and most of those are lost, the first dispatch is given
-        // up after half of it, while another unit can still answer.
+        // Departure: where few tasks take half of the quoted time and most of those are lost, the first dispatch is
+        // given up after half of it, while another unit can still answer.
         let repeatable = track.effect != Effect::Unrepeatable;
         let early = repeatable
             && task.dispatches == 0
@@ -198,8 +200,8 @@
         Flow::Dispatched
     }
 
-    /// Whether a task may be dispatched to the unit in a slot; every dispatch passes this check. With `within_target`
-    /// only the target share of the exposure cap may be used, else all of it.
+    /// Whether a task may be dispatched to the unit in a slot; every dispatch passes this check. With
+    /// `within_target` only the target share of the exposure cap may be used, else all of it.
     pub(super) fn may_dispatch(&self, task: &Task, at: usize, within_target: bool) -> bool {
         let (unit, track) = (&self.fleet.units[at], &self.tracks[task.track.0]);
         let open = task.in_flight.is_none()
@@ -222,9 +224,9 @@
         unit.ready && open && may_repeat && has_room()
     }
 
-    /// Rule 4: a cold unit gets no more work than it can do. The budget is what a warm unit gets from this relay, times
-    /// the share of it that the cold one can do. Where that is less than one task, a draw fixed for unit and relay
-    /// decides whether this relay may send one.
+    /// Rule 4: a cold unit gets no more work than it can do. The budget is what a warm unit gets from this relay,
+    /// times the share of it that the cold one can do. Where that is less than one task, a draw fixed for unit and
+    /// relay decides whether this relay may send one.
     pub(super) fn cold_unit_has_room(&self, unit: &Unit, work: f64) -> bool {
         if !unit.is_cold(self.now, self.params.warm_up) {
             return true;
@@ -246,8 +248,8 @@
         unit.sent_work.sum(self.now, span) + work <= budget.max(one)
     }
 
-    /// The exposure cap and stage of a build that is not fully released, else none. Before the platform has announced
-    /// any build, all but the lowest one listed are on trial.
+    /// The exposure cap and stage of a build that is not fully released, else none. Before the platform has
+    /// announced any build, all but the lowest one listed are on trial.
     pub(super) fn exposure_cap(&self, build: BuildId) -> Option<(f64, usize)> {
         let first_cap = self.params.first_cap();
         let listed = || {
@@ -263,8 +265,8 @@
         }
     }
 
-    /// Rule 5: a build on trial gets no more than its share of the tasks. Since times on the wire are coarse, dispatches
-    /// count for a little longer and arrivals for a little shorter than the window.
+    /// Rule 5: a build on trial gets no more than its share of the tasks. Since times on the wire are coarse,
+    /// dispatches count for a little longer and arrivals for a little shorter than the window.
     pub(super) fn exposure_has_room(
         &self,
         task: &Task,
@@ -322,8 +324,8 @@
             } * (exposure_allowance + cap * arrivals)
     }
 
-    /// Whether a unit is used only if there is no other: ejected by this relay or by peers, on probation after a streak
-    /// of failures until the task in flight there ends, or silent for longer than its tasks usually take.
+    /// Whether a unit is used only if there is no other: ejected by this relay or by peers, on probation after a
+    /// streak of failures until the task in flight there ends, or silent for longer than its tasks usually take.
     pub(super) fn is_avoided(&self, unit: &Unit) -> bool {
         let on_probation = unit.failure_streak >= EJECTION_STREAK && !unit.in_flight.is_empty();
         let slowest = || {
--- a/src/decide/judge.rs
+++ b/src/decide/judge.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Relay {
-    /// Compares the outcomes of units on trial with those of the earlier build. Failed connects are no evidence, as they
-    /// are about machines and not about the software.
+    /// Compares the outcomes of units on trial with those of the earlier build. Failed connects are no evidence, as
+    /// they are about machines and not about the software.
     pub(super) fn record_evidence(&mut self, report: &OutcomeReport) {
         // A task that failed elsewhere before may fail on any build.
         if report.is_retry || report.late_everywhere && report.outcome != Outcome::Error {
@@ -38,7 +38,8 @@
             .slow_bin(machine_type, SLOW_SHARE, MIN_BASELINE_SAMPLES)
             .filter(|_| !failed)
             .map(|bin| Histogram::bin(report.elapsed) > bin);
-        // Departure: errors and losses have baselines of their own, so that a high rate of one does not hide the other.
+        // Departure: errors and losses have baselines of their own, so that a high rate of one does not hide the
+        // other.
         let kinds = [
             report.outcome == Outcome::Error,
             failed && report.outcome != Outcome::Error,
@@ -112,7 +113,8 @@
         self.detector.cusums[sum].z += nats;
     }
 
-    /// The build that is judged. None if this relay has not seen it on trial, as it then has nothing to compare with.
+    /// The build that is judged. None if this relay has not seen it on trial, as it then has nothing to compare
+    /// with.
     pub(super) fn judged_build(&self) -> Option<BuildId> {
         self.rollout
             .filter(|rollout| rollout.is_live() && self.detector.seen_on_trial)
@@ -138,8 +140,8 @@
             / (TICK * 20).as_secs_f64()
     }
 
-    /// Tasks per second and unit. Units of the earlier build count unless they are avoided. Units of the judged build
-    /// count, avoided or not, once it is released or where it replaces the earlier units.
+    /// Tasks per second and unit. Units of the earlier build count unless they are avoided. Units of the judged
+    /// build count, avoided or not, once it is released or where it replaces the earlier units.
     pub(super) fn load_per_unit(&self) -> f64 {
         let takes_load = |unit: &&Unit| match (
             Some(unit.build) == self.judged_build(),
@@ -240,8 +242,8 @@
                 .failures += 1.0;
             return;
         }
-        // Departure: the answer was counted as good, which is taken back. Where clients report only a share of wrong
-        // answers, each report stands for several.
+        // Departure: the answer was counted as good, which is taken back. Where clients report only a share of
+        // wrong answers, each report stands for several.
         let weight = (1.0 / self.params.complaint_share.max(0.01)).clamp(1.0, MAX_COMPLAINT_WEIGHT);
         let rate = self.tracks[track.0].baseline(machine_type)[0].failure_rate();
         let nats = (log_ratio(rate, true) - log_ratio(rate, false)) * weight;
@@ -299,8 +301,8 @@
         self.detector.divergence = cusum::divergence(baseline, rate);
         let weight = self.detector.divergence / self.max_divergence();
         let threshold = cusum::threshold(weight, ALARMS_M);
-        // Departure: a build may slow both builds. The costlier it is to delay a good build, the longer lateness of both
-        // is accepted.
+        // Departure: a build may slow both builds. The costlier it is to delay a good build, the longer lateness of
+        // both is accepted.
         let late_too_long = self.detector.late_for
             > LATENESS_LIMIT.mul_f64(self.params.delay_price)
             && self.rollout.is_some_and(RolloutState::is_on_trial);
@@ -370,8 +372,8 @@
         cusum::fuse(bits, self.max_divergence())
     }
 
-    /// Sends this relay's state. Departure: outcomes go to the judging relays only; these count them as their own and
-    /// send all relays the state that follows from them.
+    /// Sends this relay's state. Departure: outcomes go to the judging relays only; these count them as their own
+    /// and send all relays the state that follows from them.
     pub(super) fn send_peer_state(&mut self, actions: DynActions) {
         let outcomes = std::mem::take(&mut self.detector.unsent_outcomes);
         let Some(rollout) = self.rollout.filter(|_| self.params.messages_peers) else {
--- a/src/decide/vote.rs
+++ b/src/decide/vote.rs
@@ -8,8 +8,8 @@
         !self.detector.shedding_before && self.meter.shed_within(SHEDDING_SPAN, self.now)
     }
 
-    /// The vote that this relay wants, and whether the evidence for it is complete; a vote without that is cast ahead
-    /// of the evidence.
+    /// The vote that this relay wants, and whether the evidence for it is complete; a vote without that is cast
+    /// ahead of the evidence.
     pub(super) fn wanted_vote(&mut self, rollout: RolloutState, fused: f64) -> (Vote, bool) {
         self.detector.can_advance = self.may_advance(rollout, fused);
         match rollout.phase {
@@ -32,8 +32,8 @@
             GateMode::FirstVote if can_advance && self.params.own_id.0 < FIRST_VOTE_VOTERS => {
                 Vote::On
             }
-            // Departure: where a round of votes takes long, relays whose votes alone do not move the build vote before
-            // the evidence is complete.
+            // Departure: where a round of votes takes long, relays whose votes alone do not move the build vote
+            // before the evidence is complete.
             GateMode::VoteCount
                 if can_advance || self.params.turns.is_early() && self.is_free_of_alarms(fused) =>
             {
@@ -58,7 +58,8 @@
         let Some(youngest) = youngest else {
             return false;
         };
-        // Departure: a stage ends only once enough of its units are listed, as those that are not have shown nothing.
+        // Departure: a stage ends only once enough of its units are listed, as those that are not have shown
+        // nothing.
         let earlier = self
             .fleet
             .ready()
@@ -76,8 +77,8 @@
         if (seen as f64) < share.unwrap_or(&0.0) * places * MIN_LISTED_SHARE {
             return false;
         }
-        // Departure: in the last stage before the release, waiting costs little, as the earlier units are still there.
-        // Every unit must have warmed up.
+        // Departure: in the last stage before the release, waiting costs little, as the earlier units are still
+        // there. Every unit must have warmed up.
         let last = rollout.stage.0 == self.params.stage_caps.len().saturating_sub(1)
             && !self.params.in_place;
         let min_age = if last {
@@ -107,8 +108,8 @@
         clear && enough && self.now >= self.detector.clear_since + youngest.min(self.params.warm_up)
     }
 
-    /// Casts the wanted vote if it is this relay's turn and the vote differs from the standing one, was not accepted, or
-    /// has to be renewed.
+    /// Casts the wanted vote if it is this relay's turn and the vote differs from the standing one, was not
+    /// accepted, or has to be renewed.
     pub(super) fn update_vote(&mut self, fused: f64, actions: DynActions) {
         let Some(rollout) = self.rollout else { return };
         let (vote, settled) = self.wanted_vote(rollout, fused);
--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -1,5 +1,5 @@
-//! Measures without decisions: a histogram with coarse bins, a tally of failures, and a sliding window. The counts of the
-//! first two are halved from time to time, so that they follow changes. Used by [`crate::decide`] and
+//! Measures without decisions: a histogram with coarse bins, a tally of failures, and a sliding window. The counts
+//! of the first two are halved from time to time, so that they follow changes. Used by [`crate::decide`] and
 //! `beechcroft-rollout`.
 
 use std::collections::VecDeque;
@@ -100,8 +100,8 @@
     }
 }
 
-/// Amounts within a sliding window. Each time is kept with the cumulative sum up to it, so that the sum of a span takes
-/// a binary search.
+/// Amounts within a sliding window. Each time is kept with the cumulative sum up to it, so that the sum of a span
+/// takes a binary search.
 #[derive(Clone, Debug, Default)]
 pub struct Window {
     sums: VecDeque<(Duration, f64)>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
 //! beechcroft: a front tier that watches over software updates.
 //!
 //! Each relay takes tasks, dispatches them to units, judges a build on trial by their outcomes, and votes on it.
-//! All decisions are made in [`decide`]; this file is its interface: the ids, the [`Settings`] that it is started with,
-//! and [`Actions`], the trait through which it acts. `beechcroft-core` (a relay on sockets) and `beechcroft-adapter`
-//! (the simulator's wire) call the methods of [`decide::Relay`] with decoded fields and carry out the actions.
+//! All decisions are made in [`decide`]; this file is its interface: the ids, the [`Settings`] that it is started
+//! with, and [`Actions`], the trait through which it acts. `beechcroft-core` (a relay on sockets) and
+//! `beechcroft-adapter` (the simulator's wire) call the methods of [`decide::Relay`] with decoded fields and carry
+//! out the actions.
 
 use smol_str::SmolStr;
 use std::time::Duration;
--- a/src/state.rs
+++ b/src/state.rs
@@ -167,7 +167,7 @@
     pub listed: bool,
     /// When it was first missing from the list.
     pub unlisted_at: Option<Duration>,
-    /// Start of its process, where the list tells.
+    /// Start of its process, if listed.
     pub started: Option<Duration>,
     /// Tasks of this relay in flight there.
     pub in_flight: Vec<TaskId>,
@@ -478,8 +478,8 @@
         self.slow = Tally::default();
     }
 
-    /// The bin above which answers of a machine type are slow. Where the trial began with no more than `least` times
-    /// of it, the bin is set as soon as there are more.
+    /// The bin above which answers of a machine type are slow. Where the trial began with no more than `least`
+    /// times of it, the bin is set as soon as there are more.
     pub fn slow_bin(
         &mut self,
         machine_type: MachineTypeId,
@@ -540,8 +540,8 @@
 }
 
 impl PeerState {
-    /// Decodes a message: version, build, stage, bits, divergence, outcomes of the stage, arrivals, latency ratio. Returns
-    /// the rest of the payload too; `None` for a message of another version or form.
+    /// Decodes a message: version, build, stage, bits, divergence, outcomes of the stage, arrivals, latency ratio.
+    /// Returns the rest of the payload too; `None` for a message of another version or form.
     pub fn decode(payload: &[u8], received_at: Duration) -> Option<(PeerState, &[u8])> {
         let &[VERSION, b0, b1, stage, bits @ 0..=3, i0, i1, i2, i3, n0, n1, t0, t1, ratio, ref rest @ ..] =
             payload
@@ -673,8 +673,8 @@
         hint / self.mean_work
     }
 
-    /// Counts whether a first dispatch took more than half of the quoted time and, of the slow ones that were waited
-    /// for to the end, whether they were lost. Dispatches that ended otherwise say nothing about either.
+    /// Counts whether a first dispatch took more than half of the quoted time and, of the slow ones that were
+    /// waited for to the end, whether they were lost. Dispatches that ended otherwise say nothing about either.
     pub fn record_first_dispatch(
         &mut self,
         outcome: Outcome,
@@ -739,8 +739,8 @@
         })
     }
 
-    /// Counts a task of a tenant and decides by `draw` (0 to 1) whether it counts as above the quota: at a rate above
-    /// `margin` times the quota, so many tasks do that the rest fits.
+    /// Counts a task of a tenant and decides by `draw` (0 to 1) whether it counts as above the quota: at a rate
+    /// above `margin` times the quota, so many tasks do that the rest fits.
     pub fn is_over_quota(
         &mut self,
         tenant: Option<TenantId>,
@@ -768,7 +768,8 @@
             ((elapsed.as_secs_f64() / quoted_s).min(1.0) - self.latency_ratio) * gain;
     }
 
-    /// Counts the work per second that a unit of size 1 did in a tick; the counts are halved once they cover `span`.
+    /// Counts the work per second that a unit of size 1 did in a tick; the counts are halved once they cover
+    /// `span`.
     fn record_warm_work(&mut self, work_per_s: f64, tick: Duration, span: Duration) {
         self.warm_unit_work = (
             self.warm_unit_work.0 + work_per_s * tick.as_secs_f64(),
@@ -790,8 +791,8 @@
     }
 }
 
-/// The units that the list names, or named in the last minute. A unit keeps its slot number while anything may refer
-/// to it.
+/// The units that the list names, or named in the last minute. A unit keeps its slot number while anything may
+/// refer to it.
 #[derive(Default)]
 pub struct Fleet {
     pub(crate) now: Duration,
@@ -927,8 +928,9 @@
             .collect()
     }
 
-    /// Encodes an outcome for peers: the unit's short id in three bytes; one bit for `late_everywhere`, four for the
-    /// track and three for the outcome; three bits for the other flags and five for the bin of the response time.
+    /// Encodes an outcome for peers: the unit's short id in three bytes; one bit for `late_everywhere`, four for
+    /// the track and three for the outcome; three bits for the other flags and five for the bin of the response
+    /// time.
     pub fn encode_outcome(&self, report: &OutcomeReport) -> [u8; OUTCOME_BYTES] {
         let [_, id0, id1, id2] = self.units[report.unit].short_id.to_be_bytes();
         let code = OUTCOME_CODES
@@ -1051,8 +1053,8 @@
 }
 
 impl Detector {
-    /// No evidence yet. There is one sum for each track's errors, one for all errors, one for losses and one for slow
-    /// answers.
+    /// No evidence yet. There is one sum for each track's errors, one for all errors, one for losses and one for
+    /// slow answers.
     pub fn new(tracks: usize, now: Duration) -> Detector {
         let cusums = vec![Cusum::default(); tracks + 3];
         Detector {
@@ -1095,8 +1097,8 @@
         (self.alarm, self.load_before, self.shedding_before) = (false, load, shedding);
     }
 
-    /// Ends a tick, in which the earlier build was `late` or not. Its lateness decays by the factor `decay`, the outcome
-    /// rate is averaged by `gain`.
+    /// Ends a tick, in which the earlier build was `late` or not. Its lateness decays by the factor `decay`, the
+    /// outcome rate is averaged by `gain`.
     pub fn tick(&mut self, late: bool, tick: Duration, decay: f64, gain: f64) {
         self.late_for = if late {
             self.late_for + tick
@@ -1165,8 +1167,8 @@
 }
 
 impl OutcomeReport {
-    /// Whether the dispatch failed; `None` for outcomes that say nothing about the unit: a full queue shows load, and
-    /// a cancelled or moot dispatch shows nothing.
+    /// Whether the dispatch failed; `None` for outcomes that say nothing about the unit: a full queue shows load,
+    /// and a cancelled or moot dispatch shows nothing.
     pub fn failed(&self) -> Option<bool> {
         match self.outcome {
             Outcome::Ok => Some(false),
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -611,8 +611,8 @@
         }
         relay.votes().lines().next().unwrap_or("none").to_owned() // an unanswered vote is cast repeatedly
     };
-    // The first 156 votes do not advance a stage; the last eight wait for what the judging relays find. After an alarm no
-    // relay votes to advance.
+    // The first 156 votes do not advance a stage; the last eight wait for what the judging relays find. After an
+    // alarm no relay votes to advance.
     let results =
         [(9, false), (155, false), (156, false), (9, true)].map(|(me, alarmed)| votes(me, alarmed));
     expect![[r#"
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -15,7 +15,8 @@
     (Outcome::Ok, 60 + nth % 7 * 10)
 }
 
-/// Records dispatches, answers, cancellations and votes as lines. Timers, log lines and messages to peers are left out.
+/// Records dispatches, answers, cancellations and votes as lines. Timers, log lines and messages to peers are left
+/// out.
 #[derive(Default)]
 pub struct Trace {
     /// One line for each action.
@@ -131,8 +132,8 @@
 }
 
 impl TestRelay {
-    /// A relay with `old` units a0.. on build 1, which is released, and `new` units b0.. on build 2, which the platform
-    /// has not announced.
+    /// A relay with `old` units a0.. on build 1, which is released, and `new` units b0.. on build 2, which the
+    /// platform has not announced.
     pub fn new(settings: &Settings, old: usize, new: usize) -> TestRelay {
         let now = ms(100_000);
         let mut trace = Trace::default();
@@ -221,8 +222,8 @@
         self.inner.set_time(self.now);
     }
 
-    /// Runs ticks with a number of tasks on track 0 each; `answer` gives the outcome and its time in milliseconds for a
-    /// unit and the number of the task.
+    /// Runs ticks with a number of tasks on track 0 each; `answer` gives the outcome and its time in milliseconds
+    /// for a unit and the number of the task.
     pub fn traffic(
         &mut self,
         ticks: u64,
