--- a/crates/beechcroft-rollout/src/baseline.rs
+++ b/crates/beechcroft-rollout/src/baseline.rs
@@ -1,20 +1,22 @@
-//! What a proxy knows of the base version on one route: its failure rate and its latencies.
+//! Statistics of the base version on one route at one proxy: failure rate and latency distribution. The detector
+//! compares canary outcomes with them.
 
 use beechcroft::histogram::{Histogram, Tally};
 use std::time::Duration;
 
-/// Outcomes of the base version that are kept before they are halved.
-const KEPT_OUTCOMES: f64 = 600.0;
-/// Outcomes without which the base version's own slowness is not known.
-const MIN_LATENCIES: u32 = 30;
-/// The share of the base version's responses that lie above the mark from which a response may be slow.
-const SLOW_SHARE: f64 = 0.05;
-/// A response is slow beyond so many times that mark.
+/// Number of outcomes at which the counts are halved, so that older outcomes lose weight.
+const HALVING_OUTCOMES: f64 = 600.0;
+/// Minimum number of latency samples for a percentile.
+const MIN_LATENCY_SAMPLES: u32 = 30;
+/// Fraction of the base version's responses above the latency from which the slow threshold is derived: 0.05 is the
+/// 95th percentile.
+const TAIL_SHARE: f64 = 0.05;
+/// Responses slower than this multiple of that percentile count as slow.
 const SLOW_FACTOR: f64 = 1.5;
-/// The lowest failure rate that the mechanism takes a version to have.
+/// Lower bound of the failure rate that is assumed for any version.
 pub(crate) const MIN_FAILURE_RATE: f64 = 0.01;
 
-/// The base version on one route.
+/// Outcome and latency counts of the base version on one route.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Baseline {
     failures: Tally,
@@ -23,9 +25,9 @@
 
 impl Baseline {
     pub(crate) fn record(&mut self, is_failure: bool, latency: Option<Duration>) {
-        self.failures.add(is_failure, KEPT_OUTCOMES);
+        self.failures.add(is_failure, HALVING_OUTCOMES);
         if let Some(latency) = latency {
-            self.latencies.add(latency, KEPT_OUTCOMES as u32);
+            self.latencies.add(latency, HALVING_OUTCOMES as u32);
         }
     }
 
@@ -41,20 +43,21 @@
         &self.latencies
     }
 
-    /// What nearly all responses take, once enough are known.
+    /// The 95th percentile of the latencies, rounded up to a histogram bin; `None` below [`MIN_LATENCY_SAMPLES`]
+    /// samples.
     pub(crate) fn p95_latency(&self) -> Option<Duration> {
-        let is_known = self.latencies.total() >= MIN_LATENCIES;
-        is_known.then(|| Histogram::edge(self.latencies.bin_at(SLOW_SHARE)))
+        let has_samples = self.latencies.total() >= MIN_LATENCY_SAMPLES;
+        has_samples.then(|| Histogram::edge(self.latencies.bin_at(TAIL_SHARE)))
     }
 
-    /// From which latency on a response is slow.
+    /// The latency above which a response on this route is slow. See [`slow_threshold`].
     pub(crate) fn slow_threshold(&self) -> Option<Duration> {
         slow_threshold(&self.latencies)
     }
 }
 
-/// From which latency on a response is slow; `None` while too few latencies are known.
+/// The latency above which a response is slow, for this distribution; `None` below [`MIN_LATENCY_SAMPLES`] samples.
 pub(crate) fn slow_threshold(latencies: &Histogram) -> Option<Duration> {
-    let is_known = latencies.total() >= MIN_LATENCIES;
-    is_known.then(|| Histogram::edge(latencies.bin_at(SLOW_SHARE)).mul_f64(SLOW_FACTOR))
+    let has_samples = latencies.total() >= MIN_LATENCY_SAMPLES;
+    has_samples.then(|| Histogram::edge(latencies.bin_at(TAIL_SHARE)).mul_f64(SLOW_FACTOR))
 }
--- a/crates/beechcroft-rollout/src/evidence.rs
+++ b/crates/beechcroft-rollout/src/evidence.rs
@@ -1,15 +1,15 @@
-//! A CUSUM with each endpoint's part of it.
+//! CUSUM evidence against a version, with the contribution of each endpoint.
 
 use crate::UNHEALTHY_SHARE;
 use beechcroft::cusum::Cusum;
 use beechcroft::histogram::excess;
 use std::collections::BTreeMap;
 
-/// With fewer endpoints than this, nothing is said of single ones.
+/// Minimum number of endpoints for excluding the contribution of single ones.
 const MIN_ENDPOINTS: usize = 3;
 
-/// The evidence against a version. What a few endpoints contribute beyond the median one is theirs and not the
-/// version's: a version is the same on all of them, a crash is not.
+/// The evidence against a version. What a minority of endpoints contributes beyond the median endpoint is attributed to
+/// those endpoints: a bad version affects all of them, a crash does not.
 #[derive(Debug, Default)]
 pub(crate) struct Evidence {
     total: Cusum,
@@ -17,7 +17,7 @@
 }
 
 impl Evidence {
-    /// Adds a log-likelihood ratio, in nats.
+    /// Adds the log-likelihood ratio of an outcome, in nats.
     pub(crate) fn add(&mut self, endpoint: u16, nats: f64) {
         self.total.z += nats;
         self.endpoints.entry(endpoint).or_default().z += nats;
@@ -28,9 +28,9 @@
         self.endpoints.values_mut().for_each(Cusum::tick);
     }
 
-    /// The running sum without what a few endpoints contribute.
+    /// The running sum, in nats, without the excess of a minority of endpoints.
     pub(crate) fn sum(&self) -> f64 {
-        let few = match self.endpoints.len() {
+        let minority = match self.endpoints.len() {
             0..MIN_ENDPOINTS => 0,
             endpoints => (endpoints as f64 * UNHEALTHY_SHARE).ceil() as usize,
         };
@@ -39,6 +39,6 @@
             .values()
             .map(|endpoint| endpoint.w.max(0.0))
             .collect();
-        self.total.w - excess(parts, few)
+        self.total.w - excess(parts, minority)
     }
 }
