--- a/crates/beechcroft-balancer/src/budgets.rs
+++ b/crates/beechcroft-balancer/src/budgets.rs
@@ -1,20 +1,21 @@
-//! One proxy's parts of bounds that hold over all proxies together.
+//! Token buckets and pacing: each proxy's part of limits that hold summed over all proxies.
 
-/// The share of the rule's budget that proxies use.
-const BUDGET_SHARE: f64 = 0.75;
-/// The share of the rule's extra retries that proxies may hold when they start.
-const EXTRA_SHARE: f64 = 0.5;
-/// Retries that one proxy may save at most.
-const MAX_SAVED_RETRIES: f64 = 5.0;
-/// Canary requests that all proxies together may hold before any was earned.
+/// Fraction of the configured retry budget that the proxies use.
+const USED_BUDGET_SHARE: f64 = 0.75;
+/// Fraction of the configured extra retries that the proxies together hold at start.
+const INITIAL_EXTRA_SHARE: f64 = 0.5;
+/// Maximum number of retry tokens of one proxy.
+const MAX_RETRY_TOKENS: f64 = 5.0;
+/// Canary tokens that all proxies together hold at start, before any request has earned one.
 pub const INITIAL_CANARY_TOKENS: f64 = 10.0;
-/// Canary requests that one proxy may save at most.
-const MAX_SAVED_CANARY: f64 = 1.5;
+/// Maximum number of canary tokens of one proxy.
+const MAX_CANARY_TOKENS: f64 = 1.5;
 
-/// Retries at a service: each request earns a share of one.
+/// Retry budget of a service at one proxy: each request earns a fraction of a retry.
 ///
-/// Shares of what a proxy was itself asked sum to that share of what all were asked, whoever is cut off. Only the few
-/// that are held at the start do not, so they come out of the rule's own extra, divided by the proxies.
+/// The limits hold without communication, also during a partition: fractions of each proxy's own requests sum to the
+/// same fraction of all requests. Only the tokens that are held at start come on top, so they are taken from the rule's
+/// extra retries, divided by the number of proxies.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     earned_per_request: f64,
@@ -23,32 +24,33 @@
 }
 
 impl RetryBudget {
-    /// `budget` and `extra` as the rule has them; `proxies` that may draw on it.
+    /// A full budget. `budget` (retries per request) and `extra` (retries) are those of the rule; `proxies` is the
+    /// number of proxies that share them.
     pub fn new(budget: f64, extra: f64, proxies: usize) -> RetryBudget {
-        let share = extra * EXTRA_SHARE / proxies.max(1) as f64;
-        let capacity = share.clamp(0.0, MAX_SAVED_RETRIES);
+        let initial = extra * INITIAL_EXTRA_SHARE / proxies.max(1) as f64;
+        let capacity = initial.clamp(0.0, MAX_RETRY_TOKENS);
         RetryBudget {
-            earned_per_request: budget * BUDGET_SHARE,
+            earned_per_request: budget * USED_BUDGET_SHARE,
             capacity,
             tokens: capacity,
         }
     }
 
-    /// A request was made.
+    /// Adds the tokens that a request earns.
     pub fn record_request(&mut self) {
         self.tokens = (self.tokens + self.earned_per_request).min(self.capacity);
     }
 
-    /// Takes a retry if there is one.
+    /// Takes a token for a retry; returns whether one was available.
     pub fn try_take(&mut self) -> bool {
-        // Where a proxy's share of the extra is less than one retry, it is taken on credit and earned back.
+        // If a proxy's share of the extra is less than one retry, a full bucket suffices and its balance goes negative.
         let is_available = self.tokens >= self.capacity.min(1.0) && self.capacity > 0.0;
         self.tokens -= f64::from(u8::from(is_available));
         is_available
     }
 }
 
-/// One proxy's share of the rate that an endpoint bears while it warms up.
+/// One proxy's share of the request rate that an endpoint can take during slow start.
 #[derive(Clone, Debug, Default)]
 pub struct SlowStart {
     tokens: f64,
@@ -56,7 +58,8 @@
 }
 
 impl SlowStart {
-    /// Takes a request if there is one: `rate` a second, and no more than one at a time.
+    /// Takes a token for a request; returns whether one was available. `rate` is in requests per second; at most one
+    /// token accumulates.
     pub fn try_take(&mut self, now: u64, rate: f64) -> bool {
         let elapsed_s = now.saturating_sub(self.updated_at) as f64 / 1000.0;
         self.tokens = (self.tokens + elapsed_s * rate).min(1.0);
@@ -67,17 +70,17 @@
     }
 }
 
-/// Paces large responses over a thin link, so that small ones need not queue behind them: bytes are given out piece by
-/// piece, at a share of the link's rate.
+/// Paces the chunks of large responses at a fraction of the link's rate, so that small responses need not queue behind
+/// them on a slow link.
 #[derive(Clone, Debug, Default)]
 pub struct LinkPacer {
     bytes_per_s: f64,
-    /// When the link is free again, in microseconds.
+    /// Time at which the link becomes free, in microseconds.
     free_at_us: f64,
 }
 
 impl LinkPacer {
-    /// A pacer at this rate.
+    /// A pacer for an idle link with this rate, in bytes per second.
     pub fn new(bytes_per_s: f64) -> LinkPacer {
         LinkPacer {
             bytes_per_s,
@@ -85,7 +88,7 @@
         }
     }
 
-    /// How long a piece has to wait for its turn, in microseconds.
+    /// Reserves the link for a chunk of this size; returns the delay until its turn, in microseconds.
     pub fn reserve_us(&mut self, now_us: u64, bytes: usize) -> u64 {
         let now = now_us as f64;
         let start = self.free_at_us.max(now);
@@ -94,39 +97,42 @@
     }
 }
 
-/// The canary's share of a service's requests: each request earns a part, each canary request spends one.
+/// Token bucket for the canary's share of a service's requests at one proxy: each request earns a fraction of a token,
+/// each canary request spends one.
 #[derive(Clone, Debug, Default)]
 pub struct CanaryQuota {
     tokens: f64,
-    /// The rollout and its stage that requests are counted for.
+    /// The rollout and the stage in which `requests` are counted.
     counted_stage: (u64, u8),
     requests: u32,
 }
 
 impl CanaryQuota {
-    /// `draw`: evenly from 0 to 1. Where each of many proxies is asked little, none would earn a whole canary request for
-    /// long. Starting somewhere between two of them, canary requests come as often as all proxies are asked.
+    /// A quota with a random number of initial tokens; `draw` is uniform in the range 0 to 1. If each of many proxies
+    /// has few requests, none would earn a whole canary request for a long time. With random initial tokens, the
+    /// proxies together make canary requests in proportion to all their requests.
     pub fn new(draw: f64, proxies: usize) -> CanaryQuota {
-        let credit = (INITIAL_CANARY_TOKENS / proxies.max(1) as f64).min(1.0);
+        let initial = (INITIAL_CANARY_TOKENS / proxies.max(1) as f64).min(1.0);
         CanaryQuota {
-            tokens: draw * credit,
+            tokens: draw * initial,
             ..CanaryQuota::default()
         }
     }
 
-    /// Counts a request, and takes a canary request if there is one. `share`: of all requests.
+    /// Counts a request, and takes a token for a canary request; returns whether one was available. `share` is the
+    /// canary's share of all requests.
     pub fn try_take(&mut self, share: f64) -> bool {
         self.requests = self.requests.saturating_add(1);
         if share >= 1.0 {
             return true;
         }
-        self.tokens = (self.tokens + share).min(MAX_SAVED_CANARY);
+        self.tokens = (self.tokens + share).min(MAX_CANARY_TOKENS);
         let is_available = self.tokens >= 1.0;
         self.tokens -= f64::from(u8::from(is_available));
         is_available
     }
 
-    /// Requests to the service in a stage of a rollout, so far.
+    /// Number of requests to the service in this stage of the rollout; starts at 0 in each stage.
     pub fn requests(&mut self, rollout: u64, stage: u8) -> u32 {
         if self.counted_stage != (rollout, stage) {
             self.counted_stage = (rollout, stage);
@@ -135,7 +141,7 @@
         self.requests
     }
 
-    /// A canary request that was taken was not made.
+    /// Returns the token of a canary request that was not made.
     pub fn refund(&mut self) {
         self.tokens += 1.0;
     }
--- a/crates/beechcroft-balancer/src/lib.rs
+++ b/crates/beechcroft-balancer/src/lib.rs
@@ -1,10 +1,11 @@
-//! Load balancing: which endpoint a request goes to, and budgets that hold summed over all proxies without asking any.
+//! Load balancing: the choice of an endpoint for each request, and limits that hold summed over all proxies without
+//! coordination.
 //!
-//! - [`LoadBalancer`] chooses an endpoint: two random choices, the less loaded one taken.
-//! - [`RetryBudget`], [`SlowStart`] and [`CanaryQuota`] are one proxy's parts of bounds that hold over all proxies.
-//! - [`LinkPacer`] spreads large responses over a thin link.
+//! - [`LoadBalancer`] chooses an endpoint by the power of two random choices.
+//! - [`RetryBudget`], [`SlowStart`] and [`CanaryQuota`] are one proxy's parts of limits on all proxies together.
+//! - [`LinkPacer`] paces large responses over a slow link.
 //!
-//! No I/O; times are milliseconds of a steady clock where nothing else is said.
+//! No I/O. Times are milliseconds of a monotonic clock unless stated otherwise.
 
 #![warn(missing_docs)]
 
--- a/crates/beechcroft-balancer/src/load_balancer.rs
+++ b/crates/beechcroft-balancer/src/load_balancer.rs
@@ -1,8 +1,8 @@
-//! The load balancer: which endpoint a request goes to.
+//! The load balancer: the choice of an endpoint for each request.
 //!
-//! It holds every endpoint that may get requests, by service, with what this proxy has in flight there and what the
-//! endpoint last reported of its load. Two random choices, the less loaded one taken: first among the endpoints of this
-//! proxy's subset and region, then further off where near ones are full.
+//! It holds, by service, every endpoint that may get requests, with this proxy's number of requests in flight there and
+//! the load that the endpoint last reported. Of two random endpoints the less loaded one is picked: first among those
+//! of this proxy's subset and region, then in other regions when the local ones are full.
 
 use crate::subset::{subset, ProxyPosition};
 use crate::upstream::{Upstream, VersionClass};
@@ -13,90 +13,92 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-/// By how much less an endpoint of another region must be loaded, in requests for each slot.
+/// Added to the load of endpoints in other regions, in requests per slot.
 const REGION_PENALTY: f64 = 0.6;
-/// The same for large responses, whose bytes cost more than a short wait.
+/// The same for large responses, whose transfer costs more than a short wait.
 const BULK_REGION_PENALTY: f64 = 2.0;
-/// By how much less an endpoint of another zone of the region must be loaded.
+/// Added to the load of endpoints in other zones of the region, in requests per slot.
 const ZONE_PENALTY: f64 = 0.1;
-/// The same for large responses.
+/// The same for large responses, in requests per slot.
 const BULK_ZONE_PENALTY: f64 = 0.7;
-/// Endpoints after those of a key that are considered where those are full.
+/// Number of further endpoints in a key's ranking that are considered when the key's own endpoints are full.
 const OVERFLOW_ENDPOINTS: usize = 2;
 
-/// What a request needs.
+/// The constraints on the endpoint for a request.
 #[derive(Clone, Debug)]
 pub struct PickRequest<'a> {
-    /// The version that it goes to.
+    /// The class of the versions that may serve it.
     pub class: VersionClass,
     /// The regions that may serve it; empty for all.
     pub home_regions: &'a [String],
     /// Its priority: 0 is the highest.
     pub priority: u8,
-    /// Whether its responses are large.
+    /// Whether the responses of its route are large.
     pub is_bulk: bool,
-    /// Whether the agreed placement binds it, and not this proxy's newest view: it must not be executed twice.
+    /// Whether the agreed placement, and not this proxy's newer view of ejections, decides which endpoints may serve
+    /// it: it must not be executed twice.
     pub follows_placement: bool,
-    /// Its key, where its service serves keys at few endpoints.
+    /// Its key, if its service serves each key at few endpoints.
     pub key: Option<KeyAffinity>,
-    /// Endpoints that it was sent to before.
+    /// The endpoints of its earlier attempts, which are skipped.
     pub tried: &'a [Rc<str>],
 }
 
-/// A request's key, and what is known of it.
+/// The key of a request, and the endpoints that may serve it.
 #[derive(Clone, Debug, Default)]
 pub struct KeyAffinity {
-    /// The key's hash.
+    /// The hash of the key.
     pub key: u64,
-    /// Endpoints that its lookups are spread over.
+    /// Number of endpoints over which lookups of the key are spread.
     pub spread: usize,
-    /// Whether that is more than usual: the key may hold a part of each endpoint's slots only.
+    /// Whether the key is hot: its spread is above the default, and it may only use a share of each endpoint's slots.
     pub is_hot: bool,
     /// The endpoint that the client's connection is bound to.
     pub bound_endpoint: Option<Rc<str>>,
-    /// Whether every proxy sends it to the same endpoint: it must not be executed twice.
+    /// Whether all proxies must choose the same endpoint, because the request must not be executed twice.
     pub is_exclusive: bool,
 }
 
-/// The endpoint that a request goes to.
+/// The endpoint chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pick {
-    /// Its id.
+    /// The endpoint's id.
     pub id: Rc<str>,
-    /// Its address.
+    /// The endpoint's address.
     pub address: SocketAddrV4,
-    /// Whether it has a free slot, as far as this proxy can tell.
+    /// Whether it has a free slot, by this proxy's estimate of its load.
     pub has_free_slot: bool,
-    /// Whether it is in this proxy's own region.
+    /// Whether it is in this proxy's region.
     pub is_same_region: bool,
 }
 
-/// Why no endpoint takes a request.
+/// Why no endpoint was chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PickError {
-    /// All that could are full.
+    /// All eligible endpoints are full.
     Overloaded,
-    /// There is none that could.
+    /// There is no eligible endpoint.
     NoEndpoint,
 }
 
-/// Chooses endpoints.
+/// Chooses endpoints for the requests of one proxy.
 #[derive(Debug)]
 pub struct LoadBalancer {
     position: ProxyPosition,
     region: String,
     zone: String,
-    /// The endpoints of each service, in the order of their ids' hashes.
+    /// The endpoints of each service, ordered by the hash of their id.
     services: BTreeMap<String, Vec<Upstream>>,
     rng: Pcg64Mcg,
 }
 
-fn order_of(id: &str) -> u64 {
+fn id_order(id: &str) -> u64 {
     key_hash("", id.as_bytes())
 }
 
 impl LoadBalancer {
-    /// The load balancer of a proxy in this region and zone. `salt` is drawn by each process.
+    /// The load balancer of a proxy in this region and zone. `salt` seeds its random numbers and differs between
+    /// processes.
     pub fn new(region: &str, zone: &str, salt: u64) -> LoadBalancer {
         LoadBalancer {
             position: ProxyPosition::default(),
@@ -107,7 +109,7 @@
         }
     }
 
-    /// All endpoints, each with its service.
+    /// All endpoints, with the name of their service.
     pub fn upstreams(&self) -> impl Iterator<Item = (&str, &Upstream)> {
         self.services.iter().flat_map(|(service, upstreams)| {
             upstreams
@@ -116,7 +118,7 @@
         })
     }
 
-    /// Sets this proxy's position among the proxies of its region, which decides its subset of endpoints.
+    /// Sets this proxy's position among the proxies of its region, which determines its subset of endpoints.
     pub fn set_position(&mut self, position: ProxyPosition) {
         self.position = ProxyPosition {
             count: position.count.max(1),
@@ -124,15 +126,15 @@
         };
     }
 
-    /// Adds an endpoint. Endpoints are in the order of their ids' hashes, the same at every proxy.
+    /// Adds an endpoint to a service. Endpoints are ordered by the hash of their id, which is the same at every proxy.
     pub fn add(&mut self, service: &str, upstream: Upstream) {
         let upstreams = self.service_mut(service);
-        let order = order_of(&upstream.id);
-        let at = upstreams.partition_point(|held| order_of(&held.id) < order);
-        upstreams.insert(at, upstream);
+        let order = id_order(&upstream.id);
+        let index = upstreams.partition_point(|existing| id_order(&existing.id) < order);
+        upstreams.insert(index, upstream);
     }
 
-    /// The endpoints of a service.
+    /// The endpoints of a service, which is created if it is unknown.
     pub fn service_mut(&mut self, service: &str) -> &mut Vec<Upstream> {
         if !self.services.contains_key(service) {
             self.services.insert(service.to_owned(), Vec::new());
@@ -140,7 +142,7 @@
         self.services.get_mut(service).expect("inserted above")
     }
 
-    /// An endpoint of a service.
+    /// Looks up an endpoint of a service.
     pub fn upstream_mut(&mut self, service: &str, id: &str) -> Option<&mut Upstream> {
         self.services
             .get_mut(service)?
@@ -148,12 +150,12 @@
             .find(|upstream| &*upstream.id == id)
     }
 
-    /// A random number from 0 up to 1.
+    /// A random number in the range 0 to 1, exclusive of 1.
     pub fn draw(&mut self) -> f64 {
         self.rng.random()
     }
 
-    /// Picks an endpoint for a request. What it takes of an endpoint's slow start is taken.
+    /// Picks an endpoint for a request. Takes a slow-start token if that endpoint is warming up.
     pub fn pick(
         &mut self,
         now: u64,
@@ -168,10 +170,10 @@
             rng,
         } = self;
         let upstreams = services.get_mut(service).ok_or(PickError::NoEndpoint)?;
-        let fitting: Vec<usize> = (0..upstreams.len())
-            .filter(|&at| upstreams[at].fits(request))
+        let eligible: Vec<usize> = (0..upstreams.len())
+            .filter(|&index| upstreams[index].is_eligible(request))
             .collect();
-        if fitting.is_empty() {
+        if eligible.is_empty() {
             return Err(PickError::NoEndpoint);
         }
         let mut choice = Choice {
@@ -182,31 +184,32 @@
             zone,
             rng,
         };
-        let healthy = choice.healthy_or_warm(&fitting);
-        if let Some(at) = request
+        let healthy = choice.healthy_or_warm(&eligible);
+        if let Some(index) = request
             .key
             .as_ref()
-            .and_then(|key| choice.by_key(&healthy, key))
+            .and_then(|key| choice.pick_by_key(&healthy, key))
         {
-            return Ok(upstreams[at].pick(now, region));
+            return Ok(upstreams[index].pick(now, region));
         }
-        let mut best = choice.by_load(&fitting, &healthy, *position);
+        let mut best = choice.pick_by_load(&eligible, &healthy, *position);
         let max_load = Upstream::max_load(request.priority);
-        if best.is_none_or(|at| upstreams[at].load_with_one_more(now) > max_load) {
+        if best.is_none_or(|index| upstreams[index].load_with_one_more(now) > max_load) {
             let least = least_loaded(upstreams, &healthy, now);
-            best = least.filter(|&at| upstreams[at].load_with_one_more(now) <= max_load);
+            best = least.filter(|&index| upstreams[index].load_with_one_more(now) <= max_load);
         }
-        if best.is_none_or(|at| upstreams[at].load_with_one_more(now) > 1.0) {
-            // Endpoints that warm up bear little, but that little helps.
-            if let Some(at) = pick_warming_up(upstreams, &fitting, now) {
-                return Ok(upstreams[at].pick(now, region));
+        if best.is_none_or(|index| upstreams[index].load_with_one_more(now) > 1.0) {
+            // Every endpoint would queue the request: use what the endpoints in slow start can take.
+            if let Some(index) = pick_warming_up(upstreams, &eligible, now) {
+                return Ok(upstreams[index].pick(now, region));
             }
         }
-        let at = best.ok_or(PickError::Overloaded)?;
-        Ok(upstreams[at].pick(now, region))
+        let index = best.ok_or(PickError::Overloaded)?;
+        Ok(upstreams[index].pick(now, region))
     }
 
-    /// The one endpoint of a key among those that a placement does not exclude.
+    /// The only endpoint that may serve an exclusive key: the first in its ranking of those that the placement does not
+    /// exclude.
     pub fn exclusive_endpoint(
         &self,
         service: &str,
@@ -223,7 +226,7 @@
             .map(|id| (*id).clone())
     }
 
-    /// Whether a warm and healthy endpoint has a free slot for a request.
+    /// Whether any endpoint that is warm and healthy has a free slot for a request.
     pub fn has_free_slot(&self, now: u64, service: &str, request: &PickRequest) -> bool {
         let is_healthy = |upstream: &&Upstream| {
             upstream.is_warm(now)
@@ -232,21 +235,22 @@
                 && !upstream.is_ejected_by_fleet
         };
         let upstreams = self.services.get(service).into_iter().flatten();
-        let mut fitting = upstreams
-            .filter(|upstream| upstream.fits(request))
+        let mut eligible = upstreams
+            .filter(|upstream| upstream.is_eligible(request))
             .filter(is_healthy);
-        fitting.any(|upstream| upstream.has_free_slot(now))
+        eligible.any(|upstream| upstream.has_free_slot(now))
     }
 
-    /// A request is sent to an endpoint.
+    /// Counts a request that is sent to an endpoint.
     pub fn request_started(&mut self, service: &str, id: &str) {
         if let Some(upstream) = self.upstream_mut(service, id) {
             upstream.in_flight += 1;
         }
     }
 
-    /// A request at an endpoint has ended. `reported`: running and waiting requests by the endpoint's own report;
-    /// `failed`: whether the end speaks against the endpoint, if it says anything of it.
+    /// Counts the end of a request at an endpoint. `reported` is the number of requests running and queued there by the
+    /// endpoint's own report. `failed` tells whether the outcome is a failure of the endpoint; `None` if it says
+    /// nothing about the endpoint.
     pub fn request_ended(
         &mut self,
         now: u64,
@@ -260,7 +264,7 @@
         }
     }
 
-    /// An endpoint says that it is full.
+    /// Records that an endpoint reported itself as full.
     pub fn mark_full(&mut self, now: u64, service: &str, id: &str) {
         if let Some(upstream) = self.upstream_mut(service, id) {
             upstream.mark_full(now);
@@ -268,7 +272,7 @@
     }
 }
 
-/// The choice for one request.
+/// The state of the choice for one request.
 struct Choice<'a> {
     now: u64,
     request: &'a PickRequest<'a>,
@@ -279,17 +283,17 @@
 }
 
 impl Choice<'_> {
-    /// Warm endpoints. Those that are ejected or silent are left out as long as there are others.
-    fn healthy_or_warm(&self, fitting: &[usize]) -> Vec<usize> {
-        let warm = fitting
+    /// The warm endpoints, without those that are ejected or miss heartbeats unless there are no others.
+    fn healthy_or_warm(&self, eligible: &[usize]) -> Vec<usize> {
+        let warm = eligible
             .iter()
             .copied()
-            .filter(|&at| self.upstreams[at].is_warm(self.now));
+            .filter(|&index| self.upstreams[index].is_warm(self.now));
         let warm: Vec<usize> = warm.collect();
         let healthy: Vec<usize> = warm
             .iter()
             .copied()
-            .filter(|&at| self.is_healthy(at))
+            .filter(|&index| self.is_healthy(index))
             .collect();
         if healthy.is_empty() {
             warm
@@ -298,23 +302,23 @@
         }
     }
 
-    fn is_healthy(&self, at: usize) -> bool {
-        let upstream = &self.upstreams[at];
+    fn is_healthy(&self, index: usize) -> bool {
+        let upstream = &self.upstreams[index];
         let is_ejected_by_fleet = upstream.is_ejected_by_fleet && !self.request.follows_placement;
         !upstream.is_ejected(self.now) && !upstream.is_heartbeat_overdue && !is_ejected_by_fleet
     }
 
-    fn load_with_one_more(&self, at: usize) -> f64 {
-        self.upstreams[at].load_with_one_more(self.now)
+    fn load_with_one_more(&self, index: usize) -> f64 {
+        self.upstreams[index].load_with_one_more(self.now)
     }
 
-    fn is_near(&self, at: usize) -> bool {
-        *self.upstreams[at].region == *self.region
+    fn is_same_region(&self, index: usize) -> bool {
+        *self.upstreams[index].region == *self.region
     }
 
     fn proximity(&self, upstream: &Upstream, key: &KeyAffinity) -> Proximity {
         if key.is_exclusive {
-            Proximity::SameRegion // the same for every proxy
+            Proximity::SameRegion // all proxies must rank alike
         } else if *upstream.region != *self.region {
             Proximity::OtherRegion
         } else if *upstream.zone != *self.zone {
@@ -324,58 +328,59 @@
         }
     }
 
-    /// The endpoint of a request's key; `None` if the key's endpoints, and those after them, are full.
-    fn by_key(&mut self, healthy: &[usize], key: &KeyAffinity) -> Option<usize> {
+    /// Picks an endpoint by the request's key; `None` if the key's endpoints and the next ones in the ranking are full.
+    fn pick_by_key(&mut self, healthy: &[usize], key: &KeyAffinity) -> Option<usize> {
         let max_load = Upstream::max_load(self.request.priority);
-        let bears = |choice: &Self, at: usize| choice.load_with_one_more(at) <= max_load;
+        let can_take = |choice: &Self, index: usize| choice.load_with_one_more(index) <= max_load;
         if let Some(bound) = &key.bound_endpoint {
-            let at = healthy
+            let index = healthy
                 .iter()
                 .copied()
-                .find(|&at| self.upstreams[at].id == *bound);
-            if let Some(at) = at.filter(|&at| bears(self, at)) {
-                return Some(at);
+                .find(|&index| self.upstreams[index].id == *bound);
+            if let Some(index) = index.filter(|&index| can_take(self, index)) {
+                return Some(index);
             }
         }
-        let candidates = healthy.iter().map(|&at| {
-            let upstream = &self.upstreams[at];
-            (at, &*upstream.id, self.proximity(upstream, key))
+        let candidates = healthy.iter().map(|&index| {
+            let upstream = &self.upstreams[index];
+            (index, &*upstream.id, self.proximity(upstream, key))
         });
         let ranked = rank_endpoints(key.key, candidates);
         if ranked.is_empty() {
-            return None; // all warm up: those have their own bound
+            return None; // all in slow start, which has its own limit
         }
         if key.is_exclusive {
-            return ranked.into_iter().find(|&at| bears(self, at));
+            return ranked.into_iter().find(|&index| can_take(self, index));
         }
         let spread = key.spread.clamp(1, ranked.len());
         let best = self.less_loaded_of_two(&ranked[..spread]);
         if self.load_with_one_more(best) <= self.key_limit(best, key) {
             return Some(best);
         }
-        // Bounded load: on in the order of the key's endpoints, to one of the next that have room, so that proxies which
-        // all see the key's endpoints full do not all take the same one.
-        let has_room = |at: &usize| self.load_with_one_more(*at) <= self.key_limit(*at, key);
+        // Bounded load: continue in the key's ranking with the next endpoints that have room. Choosing between several
+        // of them keeps proxies that all see the key's endpoints full from overloading a single one.
+        let has_room =
+            |index: &usize| self.load_with_one_more(*index) <= self.key_limit(*index, key);
         let next = ranked[spread..].iter().copied().filter(has_room);
         let next: Vec<usize> = next.take(OVERFLOW_ENDPOINTS).collect();
         if !next.is_empty() {
             return Some(self.less_loaded_of_two(&next));
         }
-        Some(best).filter(|&at| bears(self, at))
+        Some(best).filter(|&index| can_take(self, index))
     }
 
-    /// A hot key may hold a share of each endpoint's slots, and one of them at least.
-    fn key_limit(&self, at: usize, key: &KeyAffinity) -> f64 {
+    /// The maximum load of an endpoint for this key: a hot key may use a share of its slots, but at least one.
+    fn key_limit(&self, index: usize, key: &KeyAffinity) -> f64 {
         match key.is_hot {
-            true => SLOT_SHARE.max(1.0 / f64::from(self.upstreams[at].capacity)),
+            true => SLOT_SHARE.max(1.0 / f64::from(self.upstreams[index].capacity)),
             false => 1.0,
         }
     }
 
-    /// The less loaded of two random endpoints, which may be the same one.
-    fn less_loaded_of_two(&mut self, of: &[usize]) -> usize {
-        let one = of[self.rng.random_range(0..of.len())];
-        let other = of[self.rng.random_range(0..of.len())];
+    /// The less loaded of two random endpoints, which may be the same.
+    fn less_loaded_of_two(&mut self, candidates: &[usize]) -> usize {
+        let one = candidates[self.rng.random_range(0..candidates.len())];
+        let other = candidates[self.rng.random_range(0..candidates.len())];
         if self.load_with_one_more(other) < self.load_with_one_more(one) {
             other
         } else {
@@ -383,9 +388,9 @@
         }
     }
 
-    /// The load of an endpoint, with a penalty for another zone.
-    fn score(&self, at: usize) -> f64 {
-        let upstream = &self.upstreams[at];
+    /// The load of an endpoint, with a penalty if it is in another zone.
+    fn score(&self, index: usize) -> f64 {
+        let upstream = &self.upstreams[index];
         let penalty = if self.request.is_bulk {
             BULK_ZONE_PENALTY
         } else {
@@ -395,15 +400,15 @@
         upstream.load(self.now) + if is_same_zone { 0.0 } else { penalty }
     }
 
-    /// The better one of two different random endpoints.
-    fn better_of_two(&mut self, of: &[usize]) -> Option<usize> {
-        let (one, other) = match of {
+    /// The better of two distinct random endpoints by score.
+    fn better_of_two(&mut self, candidates: &[usize]) -> Option<usize> {
+        let (one, other) = match candidates {
             [] => return None,
             [only] => (*only, *only),
             _ => {
-                let one = self.rng.random_range(0..of.len());
-                let other = (one + self.rng.random_range(1..of.len())) % of.len();
-                (of[one], of[other])
+                let one = self.rng.random_range(0..candidates.len());
+                let other = (one + self.rng.random_range(1..candidates.len())) % candidates.len();
+                (candidates[one], candidates[other])
             }
         };
         Some(if self.score(other) < self.score(one) {
@@ -413,80 +418,84 @@
         })
     }
 
-    fn best_score(&self, of: &[usize]) -> Option<usize> {
-        let of = of.iter().copied();
-        of.min_by(|&a, &b| self.score(a).total_cmp(&self.score(b)))
+    fn best_score(&self, candidates: &[usize]) -> Option<usize> {
+        let candidates = candidates.iter().copied();
+        candidates.min_by(|&a, &b| self.score(a).total_cmp(&self.score(b)))
     }
 
-    /// The endpoint by load: of this proxy's subset, then of all near ones, then further off.
-    fn by_load(
+    /// Picks an endpoint by load: from this proxy's subset, then from its region, then from other regions.
+    fn pick_by_load(
         &mut self,
-        fitting: &[usize],
+        eligible: &[usize],
         healthy: &[usize],
         position: ProxyPosition,
     ) -> Option<usize> {
-        let (near, far): (Vec<usize>, Vec<usize>) =
-            healthy.iter().copied().partition(|&at| self.is_near(at));
-        // The subset first: what few endpoints report, and what this proxy has in flight there, says much of them.
-        let fitting_near: Vec<usize> = fitting
+        let (in_region, in_other_regions): (Vec<usize>, Vec<usize>) = healthy
             .iter()
             .copied()
-            .filter(|&at| self.is_near(at))
+            .partition(|&index| self.is_same_region(index));
+        // The subset comes first: with few endpoints, their load reports and this proxy's own requests in flight there
+        // describe their load well.
+        let eligible_in_region: Vec<usize> = eligible
+            .iter()
+            .copied()
+            .filter(|&index| self.is_same_region(index))
             .collect();
-        let base = if fitting_near.is_empty() {
-            fitting
+        let candidates = if eligible_in_region.is_empty() {
+            eligible
         } else {
-            &fitting_near
+            &eligible_in_region
         };
-        let own = subset(base, position);
+        let own_subset = subset(candidates, position);
         let preferred: Vec<usize> = healthy
             .iter()
             .copied()
-            .filter(|at| own.contains(at))
+            .filter(|index| own_subset.contains(index))
             .collect();
         let best = if preferred.is_empty() {
-            self.better_of_two(&near)
-        } else if preferred.len() < near.len().max(far.len()) {
+            self.better_of_two(&in_region)
+        } else if preferred.len() < in_region.len().max(in_other_regions.len()) {
             self.best_score(&preferred)
         } else {
             self.better_of_two(&preferred)
         };
-        if best.is_some_and(|at| self.load_with_one_more(at) <= 1.0) {
+        if best.is_some_and(|index| self.load_with_one_more(index) <= 1.0) {
             return best;
         }
-        // A request would wait there: look at all near ones, then further off.
-        let near_best = self.best_score(&near);
-        let Some(other) = self.better_of_two(&far) else {
-            return near_best;
+        // The request would queue there: consider the whole region, then other regions.
+        let best_in_region = self.best_score(&in_region);
+        let Some(other) = self.better_of_two(&in_other_regions) else {
+            return best_in_region;
         };
         let penalty = if self.request.is_bulk {
             BULK_REGION_PENALTY
         } else {
             REGION_PENALTY
         };
-        let is_better = near_best.is_none_or(|at| {
-            let load = self.load_with_one_more(at);
+        let is_better = best_in_region.is_none_or(|index| {
+            let load = self.load_with_one_more(index);
             load > 1.0 && self.load_with_one_more(other) + penalty < load
         });
         if is_better {
             Some(other)
         } else {
-            near_best
+            best_in_region
         }
     }
 }
 
-fn least_loaded(upstreams: &[Upstream], of: &[usize], now: u64) -> Option<usize> {
-    let load = |at: usize| upstreams[at].load_with_one_more(now);
-    of.iter()
+fn least_loaded(upstreams: &[Upstream], candidates: &[usize], now: u64) -> Option<usize> {
+    let load = |index: usize| upstreams[index].load_with_one_more(now);
+    candidates
+        .iter()
         .copied()
         .min_by(|&a, &b| load(a).total_cmp(&load(b)))
 }
 
-/// The first endpoint that warms up and takes a request from this proxy.
-fn pick_warming_up(upstreams: &mut [Upstream], fitting: &[usize], now: u64) -> Option<usize> {
-    fitting.iter().copied().find(|&at| {
-        let upstream = &mut upstreams[at];
+/// The first endpoint in slow start that can take a request from this proxy.
+fn pick_warming_up(upstreams: &mut [Upstream], eligible: &[usize], now: u64) -> Option<usize> {
+    eligible.iter().copied().find(|&index| {
+        let upstream = &mut upstreams[index];
         !upstream.is_warm(now) && upstream.slow_start_rate > 0.0 && upstream.try_slow_start(now)
     })
 }
--- a/crates/beechcroft-balancer/src/subset.rs
+++ b/crates/beechcroft-balancer/src/subset.rs
@@ -1,17 +1,17 @@
-//! Which endpoints a proxy prefers: a subset for each proxy, so that few connections are needed and each endpoint hears
-//! from few proxies.
+//! Deterministic subsetting: each proxy prefers a subset of the endpoints, so that it needs few connections and each
+//! endpoint serves few proxies.
 
-/// Endpoints in a subset, at least.
+/// Minimum number of endpoints in a subset.
 const MIN_SUBSET: usize = 6;
-/// Proxies whose subsets contain each endpoint, at least.
+/// Minimum number of proxies that have an endpoint in their subset.
 const MIN_PROXIES: usize = 2;
 
-/// A proxy's position among the proxies of its region.
+/// The position of a proxy among the proxies of its region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProxyPosition {
-    /// Its index, from 0.
+    /// Index of the proxy, from 0.
     pub index: usize,
-    /// How many there are.
+    /// Number of proxies in the region.
     pub count: usize,
 }
 
@@ -21,8 +21,9 @@
     }
 }
 
-/// A proxy's subset of endpoints in their order: windows of equal length, spread evenly. So each endpoint is in as many
-/// subsets, and an endpoint or proxy more or less moves every window a little.
+/// The subset of a proxy: a window of the ordered endpoints. The windows of all proxies have the same length and are
+/// spread evenly, so that each endpoint is in about as many subsets, and adding or removing an endpoint or proxy moves
+/// each window only a little.
 pub fn subset(endpoints: &[usize], position: ProxyPosition) -> Vec<usize> {
     let total = endpoints.len();
     let needed = (MIN_PROXIES * total).div_ceil(position.count);
--- a/crates/beechcroft-balancer/src/upstream.rs
+++ b/crates/beechcroft-balancer/src/upstream.rs
@@ -1,78 +1,78 @@
-//! An endpoint as a proxy uses it.
+//! The state of an endpoint at one proxy: attributes, load estimate, slow start and ejection.
 
 use crate::load_balancer::{Pick, PickRequest};
 use crate::SlowStart;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-/// An endpoint's report on its load fades in about this time, in milliseconds.
-const LOAD_FADE_MS: f64 = 400.0;
-/// Requests for each slot of an endpoint above which it gets none, for the highest priority.
+/// Time constant with which an endpoint's load report decays, in milliseconds.
+const LOAD_DECAY_MS: f64 = 400.0;
+/// Maximum load of an endpoint for requests of the highest priority, in requests per slot.
 const MAX_LOAD: f64 = 3.0;
-/// Each priority below the highest one bears so much less.
-const LOAD_PER_PRIORITY: f64 = 0.25;
-/// The least that any priority bears.
+/// Reduction of the maximum load per priority level below the highest, in requests per slot.
+const LOAD_REDUCTION_PER_PRIORITY: f64 = 0.25;
+/// Lower bound of the maximum load, for any priority.
 const MIN_MAX_LOAD: f64 = 1.5;
-/// Failures in a row after which an endpoint is ejected.
-const EJECTION_FAILURES: u32 = 2;
-/// How long the first ejection lasts, in milliseconds. It doubles with each one in a row.
+/// Number of consecutive failures after which an endpoint is ejected.
+const FAILURES_BEFORE_EJECTION: u32 = 2;
+/// Duration of the first ejection, in milliseconds. Doubles with each further ejection until a request succeeds.
 pub const EJECTION_MS: u64 = 500;
-/// How long an ejection lasts at most, in milliseconds.
+/// Maximum duration of an ejection, in milliseconds.
 const MAX_EJECTION_MS: u64 = 8000;
 
-/// The version that an endpoint runs, as far as it matters for requests.
+/// The class of an endpoint's version, which determines the requests that it may get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionClass {
     /// The base version.
     Base,
-    /// The version that is rolled out.
+    /// The canary version of the current rollout.
     Canary,
-    /// A version that gets no requests.
+    /// Any other version, which gets no requests.
     Excluded,
 }
 
-/// An endpoint as a proxy uses it.
+/// An endpoint, as one proxy sees it.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// Its id.
+    /// The endpoint's id.
     pub id: Rc<str>,
-    /// Its address.
+    /// The address of its requests.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// The zone it runs in.
     pub zone: Rc<str>,
-    /// Its region.
+    /// The region of its zone.
     pub region: Rc<str>,
     /// The version of its software.
     pub version: Rc<str>,
-    /// How many requests it works on at once.
+    /// Number of slots: requests that it processes concurrently.
     pub capacity: u32,
-    /// What that version means for requests.
+    /// The class of its version.
     pub class: VersionClass,
     /// Whether it is ready and its zone is not evacuated.
     pub is_available: bool,
-    /// Whether its heartbeats have stopped.
+    /// Whether its heartbeats are overdue.
     pub is_heartbeat_overdue: bool,
-    /// Whether the proxies of all regions together found it unhealthy, or it cannot be reached from here.
+    /// Whether the proxies of all regions together have ejected it, or this proxy's region cannot reach it.
     pub is_ejected_by_fleet: bool,
     /// Whether the agreed placement excludes it for non-idempotent requests.
     pub is_excluded_by_placement: bool,
-    /// When it will have warmed up.
+    /// When its warm-up ends.
     pub warmup_ends_at: u64,
-    /// Requests a second that this proxy may send to it while it warms up; 0 for most proxies.
+    /// This proxy's share of its request rate during slow start, in requests per second; 0 at most proxies.
     pub slow_start_rate: f64,
     slow_start: SlowStart,
-    /// Requests of this proxy that are in flight there.
+    /// This proxy's requests in flight there.
     pub in_flight: u32,
-    /// Requests of others there, by its last report.
-    others: f64,
+    /// Requests of other proxies there, by its last report.
+    others_in_flight: f64,
     reported_at: u64,
-    failures_in_row: u32,
+    consecutive_failures: u32,
     ejected_until: u64,
     next_ejection_ms: u64,
 }
 
 impl Upstream {
-    /// An endpoint that gets no requests yet.
+    /// An endpoint that is not available yet.
     pub fn new(
         id: &str,
         address: SocketAddrV4,
@@ -97,33 +97,34 @@
             slow_start_rate: 0.0,
             slow_start: SlowStart::default(),
             in_flight: 0,
-            others: 0.0,
+            others_in_flight: 0.0,
             reported_at: 0,
-            failures_in_row: 0,
+            consecutive_failures: 0,
             ejected_until: 0,
             next_ejection_ms: EJECTION_MS,
         }
     }
 
-    /// Requests at the endpoint, as far as this proxy can tell.
+    /// Estimated number of requests at the endpoint: this proxy's own, and the decayed report on those of other
+    /// proxies.
     fn requests(&self, now: u64) -> f64 {
         let age_ms = now.saturating_sub(self.reported_at) as f64;
-        f64::from(self.in_flight) + self.others * (-age_ms / LOAD_FADE_MS).exp()
+        f64::from(self.in_flight) + self.others_in_flight * (-age_ms / LOAD_DECAY_MS).exp()
     }
 
-    /// Requests for each slot.
+    /// Estimated requests per slot.
     pub(crate) fn load(&self, now: u64) -> f64 {
         self.requests(now) / f64::from(self.capacity)
     }
 
-    /// Requests for each slot, should it get one more.
+    /// Estimated requests per slot after one more request.
     pub(crate) fn load_with_one_more(&self, now: u64) -> f64 {
         (self.requests(now) + 1.0) / f64::from(self.capacity)
     }
 
-    /// The highest load with which an endpoint still gets requests of a priority.
+    /// The maximum load at which an endpoint still gets requests of this priority.
     pub(crate) fn max_load(priority: u8) -> f64 {
-        (MAX_LOAD - LOAD_PER_PRIORITY * f64::from(priority)).max(MIN_MAX_LOAD)
+        (MAX_LOAD - LOAD_REDUCTION_PER_PRIORITY * f64::from(priority)).max(MIN_MAX_LOAD)
     }
 
     pub(crate) fn has_free_slot(&self, now: u64) -> bool {
@@ -138,8 +139,8 @@
         self.ejected_until > now
     }
 
-    /// Whether a request may go here at all.
-    pub(crate) fn fits(&self, request: &PickRequest) -> bool {
+    /// Whether the endpoint may serve a request at all, regardless of its load and health.
+    pub(crate) fn is_eligible(&self, request: &PickRequest) -> bool {
         let homes = request.home_regions;
         self.class == request.class
             && self.is_available
@@ -157,23 +158,23 @@
         }
     }
 
-    /// Takes a request from this proxy's share of what the endpoint bears while it warms up, if it has none in flight.
+    /// Takes a slow-start token for a request; only while this proxy has no request in flight there.
     pub(crate) fn try_slow_start(&mut self, now: u64) -> bool {
         self.in_flight == 0 && self.slow_start.try_take(now, self.slow_start_rate)
     }
 
-    /// A request that was sent here has ended. `reported`: requests there by its own report.
+    /// Counts the end of a request. `reported` is the number of requests at the endpoint by its own report.
     pub(crate) fn request_ended(&mut self, now: u64, reported: Option<u32>, failed: Option<bool>) {
         if let Some(reported) = reported {
-            // The report was made while this request still counted.
-            self.others = (f64::from(reported) - f64::from(self.in_flight)).max(0.0);
+            // The report still includes this request, and so does `in_flight`.
+            self.others_in_flight = (f64::from(reported) - f64::from(self.in_flight)).max(0.0);
             self.reported_at = now;
         }
         self.in_flight = self.in_flight.saturating_sub(1);
         match failed {
             None => {}
             Some(false) => {
-                self.failures_in_row = 0;
+                self.consecutive_failures = 0;
                 self.next_ejection_ms = EJECTION_MS;
             }
             Some(true) => self.record_failure(now),
@@ -181,16 +182,18 @@
     }
 
     fn record_failure(&mut self, now: u64) {
-        self.failures_in_row += 1;
-        if self.failures_in_row >= EJECTION_FAILURES && !self.is_ejected(now) {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures >= FAILURES_BEFORE_EJECTION && !self.is_ejected(now) {
             self.ejected_until = now + self.next_ejection_ms;
             self.next_ejection_ms = (self.next_ejection_ms * 2).min(MAX_EJECTION_MS);
         }
     }
 
-    /// The endpoint says that it is full.
+    /// Assumes the maximum load, since the endpoint reported itself as full.
     pub(crate) fn mark_full(&mut self, now: u64) {
-        self.others = self.others.max(f64::from(self.capacity) * MAX_LOAD);
+        self.others_in_flight = self
+            .others_in_flight
+            .max(f64::from(self.capacity) * MAX_LOAD);
         self.reported_at = now;
     }
 }
