--- a/crates/beechcroft-retry/src/classify.rs
+++ b/crates/beechcroft-retry/src/classify.rs
@@ -1,40 +1,41 @@
-//! What a response head is to the request that waits for a response.
+//! Classification of a response by its head: whether it belongs to the request, is usable, and is final.
 
 use crate::AttemptOutcome;
 use beechcroft_safeguards::Safeguard;
 
-/// What the head of a response says of whose it is and of what became of the request.
+/// The parts of a response head that identify its request and tell what became of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptResponse<'a> {
-    /// The attempt id that it carries.
+    /// The attempt id in the response.
     pub attempt_id: Option<&'a str>,
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Whether it says that the request was not executed: `Beechcroft-Not-Executed`.
+    /// Whether the response has `Beechcroft-Not-Executed`, which promises that the request was not executed.
     pub not_executed: bool,
-    /// Whether a unit has sealed it.
+    /// Whether an endpoint has sealed the response.
     pub is_sealed: bool,
-    /// Whether its body has a coding.
+    /// Whether the body has a content coding.
     pub is_encoded: bool,
 }
 
-/// What a response is to the request that waits for one.
+/// What a response means for the request that waits for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseClass {
-    /// An interim response: the final one follows.
+    /// An interim response (1xx); the final one follows.
     Interim,
-    /// The response to another request, in the place of this one's: it is skipped.
+    /// A response to another request, received in place of this request's response. It is skipped.
     Foreign,
-    /// Nothing that this request may rely on.
+    /// A response that must not be forwarded or relied on.
     Unusable,
-    /// The request was not executed here: another endpoint may be tried.
+    /// The request was not executed, so another endpoint may be tried.
     NotExecuted(AttemptOutcome),
     /// The final response.
     Final,
 }
 
-/// Classifies a response to the request with this attempt id. Units identify the request that they answer, also where
-/// they reject it: without its attempt id a response belongs to nobody, and what it promises is promised to nobody.
+/// Classifies a response to the request with this attempt id. Endpoints include the attempt id in every response, also
+/// when they reject the request. A response without one cannot be attributed to a request, so its promises do not hold
+/// for this one.
 pub fn classify(attempt_id: &str, response: &AttemptResponse<'_>) -> ResponseClass {
     if (100..200).contains(&response.status) {
         return ResponseClass::Interim;
--- a/crates/beechcroft-retry/src/state.rs
+++ b/crates/beechcroft-retry/src/state.rs
@@ -1,30 +1,30 @@
-//! The state of a request among its attempts.
+//! The retry state of a request across its attempts.
 
 use beechcroft_error::ErrorKind;
 use beechcroft_safeguards::Safeguard;
 
-/// How many attempts may fail before anything was sent. They cost nothing but time.
+/// Maximum number of attempts that may fail before the request is sent. They cost nothing but time.
 const MAX_UNSENT_ATTEMPTS: u32 = 4;
 
-/// How an attempt ended, if not with a response that is forwarded.
+/// How an attempt ended without a response to forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// No complete request has left this machine: it did not arrive and cannot be executed.
+    /// The request was not sent completely, so it cannot have been executed.
     NotSent,
-    /// The unit says that it did not execute the request (`Beechcroft-Not-Executed`).
+    /// The endpoint reported that it did not execute the request (`Beechcroft-Not-Executed`).
     Rejected,
-    /// Another unit answers at the address and has not executed the request (421).
+    /// Another endpoint answered at the address and did not execute the request (421).
     WrongEndpoint,
-    /// Anything else: a reset, a close, an unusable response.
+    /// Any other failure, such as a reset, a closed connection or an unusable response.
     Unclear,
-    /// The time for the attempt is over.
+    /// The time limit of the attempt has passed.
     TimedOut,
-    /// The unit executed the request and failed.
+    /// The endpoint executed the request and reported a failure.
     Failed,
 }
 
 impl AttemptOutcome {
-    /// Whether the request may have been executed in the attempt.
+    /// Whether the request may have been executed in this attempt.
     pub fn may_have_executed(self) -> bool {
         matches!(
             self,
@@ -33,30 +33,31 @@
     }
 }
 
-/// What comes next.
+/// The next step for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Another endpoint is tried.
+    /// Try another endpoint.
     Retry,
-    /// The system responds itself.
+    /// Respond to the client with an error of the proxy's own.
     Respond(ErrorKind),
-    /// The unit's own failure is forwarded as it is.
+    /// Forward the endpoint's error response unchanged.
     ForwardFailure,
 }
 
-/// The state of a request among its attempts.
+/// The state of a request across its attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryState {
     is_idempotent: bool,
-    /// Endpoints that it may still be sent to.
+    /// Number of endpoints that the request may still be sent to.
     attempts_left: u32,
-    /// Attempts that may still fail before anything is sent.
+    /// Number of attempts that may still fail before sending.
     unsent_left: u32,
     may_have_executed: bool,
 }
 
 impl RetryState {
-    /// A request that was not sent yet. `attempts`: the largest number of endpoints that it may be sent to.
+    /// The state of a request that has not been sent yet. `attempts` is the maximum number of endpoints that it may be
+    /// sent to.
     pub fn new(is_idempotent: bool, attempts: u32) -> RetryState {
         RetryState {
             is_idempotent,
@@ -66,19 +67,20 @@
         }
     }
 
-    /// Whether a hedged attempt may begin beside the one that is under way.
+    /// Whether a hedged attempt may start while another attempt is in flight.
     pub fn may_hedge(&self) -> bool {
         self.is_idempotent && self.attempts_left > 0
     }
 
-    /// The request is about to be sent to an endpoint.
+    /// Counts an attempt before the request is sent to an endpoint.
     pub fn attempt_started(&mut self) {
         debug_assert!(self.attempts_left > 0);
         self.attempts_left -= 1;
     }
 
-    /// An attempt has ended and no other one is under way. `has_time`: the deadline leaves time for another one. `budget`
-    /// is asked, and taken from, only if another request would arrive somewhere.
+    /// Decides what to do after the last attempt in flight has ended. `has_time` tells whether the deadline leaves time
+    /// for another attempt. `budget` takes from the retry budget and is called only if the request would reach another
+    /// endpoint.
     pub fn attempt_ended(
         &mut self,
         outcome: AttemptOutcome,
@@ -87,7 +89,7 @@
     ) -> Decision {
         match outcome {
             AttemptOutcome::NotSent => {
-                // It did not arrive: neither an attempt nor the budget is spent.
+                // The request did not arrive, so it uses up neither an attempt nor retry budget.
                 self.attempts_left += 1;
                 self.unsent_left = self.unsent_left.saturating_sub(1);
                 match has_time && self.unsent_left > 0 {
@@ -117,14 +119,14 @@
         }
     }
 
-    /// The request may have been executed: whether it may be sent again.
+    /// Whether to send a request again that may have been executed.
     fn may_execute_again(&mut self, has_time: bool, budget: impl FnOnce() -> bool) -> bool {
         self.may_have_executed = true;
         let is_allowed = self.is_idempotent || !Safeguard::MaybeExecuted.is_enabled();
         is_allowed && has_time && self.attempts_left > 0 && budget()
     }
 
-    /// An attempt has ended while another one is under way: that one decides.
+    /// Records the end of an attempt while another one is in flight; the other one determines the next step.
     pub fn hedged_attempt_ended(&mut self, outcome: AttemptOutcome) {
         if outcome == AttemptOutcome::NotSent {
             self.attempts_left += 1;
@@ -132,7 +134,8 @@
         self.may_have_executed |= outcome.may_have_executed();
     }
 
-    /// The error of a response where no endpoint takes the request, for a reason of this kind.
+    /// The kind of error to respond with when no endpoint takes the request for this reason. If the request may have
+    /// been executed, it is [`ErrorKind::ResponseLost`].
     pub fn no_endpoint_error(&self, reason: ErrorKind) -> ErrorKind {
         match self.may_have_executed {
             true => ErrorKind::ResponseLost,
