--- a/crates/beechcroft-routing/src/lib.rs
+++ b/crates/beechcroft-routing/src/lib.rs
@@ -1,5 +1,5 @@
-//! Routing: from host and path to a route. A table is compiled once from a version of the configuration and never
-//! changes.
+//! Routing: looks up the route for a host and path. A routing table is compiled once per version of the configuration
+//! and is immutable.
 
 #![warn(missing_docs)]
 
@@ -7,37 +7,37 @@
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// A service's share of a route.
+/// A service that takes part of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WeightedService {
     /// The service's index in [`RoutingTable::services`].
     pub service: usize,
-    /// The sum of the weights up to and with this one.
+    /// Sum of the weights of the route's services up to and including this one.
     pub cumulative_weight: u32,
 }
 
-/// A route as requests use it.
+/// A route, prepared for matching and forwarding.
 #[derive(Clone, Debug)]
 pub struct CompiledRoute {
-    /// What its paths begin with.
+    /// The path prefix that it matches.
     pub prefix: String,
-    /// Its name.
+    /// The name in the configuration.
     pub name: String,
-    /// What its requests do.
+    /// Whether its requests may be executed more than once, and how large its responses are.
     pub route_type: RouteType,
-    /// For a request to be answered, in milliseconds.
+    /// Time limit for a request, in milliseconds.
     pub timeout_ms: u64,
-    /// The latency target, in milliseconds.
+    /// Target for the response time, in milliseconds.
     pub latency_target_ms: u64,
-    /// Its priority: 0 is the highest.
+    /// Priority of its requests: 0 is the highest.
     pub priority: u8,
-    /// The services that its requests go to.
+    /// The services that its requests are split over.
     pub services: Vec<WeightedService>,
-    /// Units that a request may be sent to at most.
+    /// Maximum number of endpoints that a request may be sent to.
     pub max_attempts: u32,
     /// The regions that may serve it; empty for all.
     pub home_regions: Vec<String>,
-    /// Where a request's key is taken from.
+    /// The part of a request that holds its key; `None` for the path below the prefix.
     pub key: Option<KeySource>,
 }
 
@@ -54,9 +54,9 @@
             }
             None => {
                 let mut cumulative_weight = 0;
-                for part in route.split.iter().filter(|part| part.weight > 0) {
-                    cumulative_weight += part.weight;
-                    let service = service_index[part.service.as_str()];
+                for share in route.split.iter().filter(|share| share.weight > 0) {
+                    cumulative_weight += share.weight;
+                    let service = service_index[share.service.as_str()];
                     services.push(WeightedService {
                         service,
                         cumulative_weight,
@@ -83,23 +83,26 @@
         self.route_type != RouteType::NonIdempotent
     }
 
-    /// The key of a request: what the operator names, else the path below the prefix. `header` finds a value.
+    /// The key of a request: the configured path segment or header, else the path below the prefix. `header` looks up a
+    /// header by name. An absent segment or header gives an empty key.
     pub fn key<'a>(
         &self,
         target: &'a str,
         header: impl FnOnce(&str) -> Option<&'a str>,
     ) -> &'a str {
-        let below = path_of(target).get(self.prefix.len()..).unwrap_or("");
+        let path_below_prefix = path_without_query(target)
+            .get(self.prefix.len()..)
+            .unwrap_or("");
         match &self.key {
-            None => below,
+            None => path_below_prefix,
             Some(KeySource {
                 segment: Some(nth), ..
-            }) => below.split('/').nth(nth - 1).unwrap_or(""),
+            }) => path_below_prefix.split('/').nth(nth - 1).unwrap_or(""),
             Some(KeySource { header: name, .. }) => name.as_deref().and_then(header).unwrap_or(""),
         }
     }
 
-    /// The service for a draw from 0 up to 1.
+    /// Picks a service by weight. `draw` is uniform in the range 0 to 1, exclusive of 1.
     pub fn pick_service(&self, draw: f64) -> usize {
         let total = self
             .services
@@ -109,42 +112,42 @@
         let picked = self
             .services
             .iter()
-            .find(|part| weight < part.cumulative_weight);
+            .find(|share| weight < share.cumulative_weight);
         picked
             .or(self.services.last())
-            .map_or(0, |part| part.service)
+            .map_or(0, |share| share.service)
     }
 }
 
-/// The routes of a host: indices by the first segment of their prefix, the longest prefix first.
+/// The routes of a host: route indices by the first segment of their prefix, longest prefix first.
 type HostRoutes = HashMap<String, Vec<usize>>;
 
 /// The routes of one version of the configuration.
 #[derive(Clone, Debug)]
 pub struct RoutingTable {
-    /// The version.
+    /// The version of the configuration.
     pub version: u32,
-    /// Limits on what clients send.
+    /// Limits on requests from clients.
     pub limits: Limits,
-    /// All services.
+    /// All services of the configuration.
     pub services: Vec<Service>,
     hosts: HashMap<String, HostRoutes>,
     routes: Vec<CompiledRoute>,
 }
 
-/// The part of a path or prefix up to its second slash, which all its matches share.
+/// The part of a path or prefix up to and including its second slash. A prefix and all paths that it matches share it.
 fn first_segment(path: &str) -> &str {
     let second_slash = path.get(1..).and_then(|rest| rest.find('/'));
     &path[..second_slash.map_or(path.len(), |at| at + 2)]
 }
 
-/// A target without its query.
-fn path_of(target: &str) -> &str {
+/// The path of a request target, without its query.
+fn path_without_query(target: &str) -> &str {
     target.split('?').next().unwrap_or(target)
 }
 
 impl RoutingTable {
-    /// Compiles a configuration.
+    /// Compiles a validated configuration.
     pub fn new(config: &Config) -> RoutingTable {
         let names = config.services.iter().map(|service| service.name.as_str());
         let service_index: HashMap<&str, usize> = names
@@ -178,9 +181,10 @@
         table
     }
 
-    /// The route of a host and a raw target, with its index. A query and a port do not count.
+    /// Finds the route for a host and a raw request target, and returns it with its index. The port of the host and the
+    /// query of the target are ignored.
     pub fn find(&self, host: &str, target: &str) -> Option<(usize, &CompiledRoute)> {
-        let path = path_of(target);
+        let path = path_without_query(target);
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.hosts.get(host) {
             Some(routes) => routes,
