--- a/crates/beechcroft-registry/src/lib.rs
+++ b/crates/beechcroft-registry/src/lib.rs
@@ -1,9 +1,9 @@
-//! The registry of endpoints: which units are ready, drain, are gone, and which are still warming up.
+//! The registry of endpoints: which are ready, draining, gone, or still warming up.
 //!
-//! It is a mergeable table that any control node may write and every node holds. An endpoint's id names one
-//! incarnation of a unit. What is known of it is ordered by state first (ready, draining, gone; none of them turns
-//! back) and then by the sequence of its heartbeats. A record says how long ago its heartbeat was heard, so that no
-//! two nodes need the same clock.
+//! It is a mergeable table that any control node may update and every node replicates. An endpoint's id identifies one
+//! incarnation of a server process. Records of an endpoint are ordered first by state (ready, draining, gone; a state
+//! never goes back to an earlier one) and then by heartbeat sequence number. A record contains the age of its heartbeat
+//! rather than a time, so that nodes do not need synchronized clocks.
 //!
 //! ```
 //! use beechcroft_registry::{EndpointRegistry, EndpointState, MergeOutcome};
@@ -19,7 +19,7 @@
 //! assert!(registry.mark_gone("i-7"));
 //! ```
 //!
-//! No I/O. All times are milliseconds of the holder's own steady clock.
+//! No I/O. All times are milliseconds of the local monotonic clock.
 
 #![warn(missing_docs)]
 
@@ -28,50 +28,50 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The number of hash ranges over which two registries are compared.
+/// Number of id hash ranges whose digests are compared between registries.
 pub const DIGEST_RANGES: usize = 16;
 
-/// How long an endpoint that is gone is remembered, so that a late record does not bring it back.
+/// Time for which an endpoint that is gone is kept, in milliseconds, so that a late record does not add it again.
 const RETENTION_MS: u64 = 600_000;
 
-/// The state of an endpoint. Later states win over earlier ones; the order of variants is their encoding.
+/// The state of an endpoint. A later variant supersedes an earlier one; the order of variants is the encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has and takes no new requests.
+    /// It finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It has ended.
+    /// It has terminated.
     Gone,
 }
 
-/// What is known of an endpoint, as it travels between nodes. The order of fields is their encoding.
+/// The state of an endpoint as it is exchanged between nodes. The order of fields is the encoding.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// The unit's id. A unit that starts again has another one.
+    /// The endpoint's id, which is new after each restart.
     pub id: String,
     /// The service that it belongs to.
     pub service: String,
     /// The version of its software.
     pub version: String,
-    /// Its zone.
+    /// The zone it runs in.
     pub zone: String,
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddrV4,
-    /// How many requests it works on at once.
+    /// Number of requests that it processes concurrently.
     pub capacity: u16,
-    /// Its state.
+    /// Its state at the heartbeat.
     pub state: EndpointState,
     /// The sequence number of the heartbeat.
     pub sequence: u64,
-    /// For how long it was going to warm up at the time of the heartbeat, in milliseconds.
+    /// Remaining warm-up time at the heartbeat, in milliseconds.
     pub warmup_left_ms: u32,
-    /// Since the heartbeat was heard, in milliseconds.
+    /// Time since the heartbeat was received, in milliseconds.
     pub age_ms: u32,
 }
 
 impl EndpointRecord {
-    /// The record of an endpoint of which only the end is known.
+    /// A record with the state `Gone`, for an endpoint of which nothing else is known.
     fn gone(id: &str) -> EndpointRecord {
         EndpointRecord {
             id: id.to_owned(),
@@ -88,33 +88,33 @@
     }
 }
 
-/// An endpoint as the holder of the registry knows it.
+/// An endpoint in the local registry, with local times.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The newest record.
+    /// The merged record.
     pub record: EndpointRecord,
-    /// When its latest heartbeat was heard.
+    /// When the latest heartbeat was received, at this node or another one.
     pub last_heartbeat_at: u64,
-    /// When it will have warmed up.
+    /// When the endpoint's warm-up ends.
     pub warmup_ends_at: u64,
 }
 
-/// What merging a record did.
+/// The effect of merging a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// Nothing in it was new.
+    /// The record contained nothing new.
     Unchanged,
-    /// It was a later heartbeat; nothing else has changed.
+    /// The record contained a later heartbeat in the same state.
     Heartbeat,
     /// The endpoint or its state was new.
     Changed,
 }
 
-/// The table of endpoints.
+/// A registry of endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointRegistry {
     endpoints: BTreeMap<String, Endpoint>,
-    /// The digest of each range. Invariant: the exclusive or of `digest_of` over the endpoints of the range.
+    /// The digest of each range. Invariant: the XOR of `digest_of` over the endpoints in the range.
     digests: [u32; DIGEST_RANGES],
 }
 
@@ -128,7 +128,7 @@
 }
 
 impl EndpointRegistry {
-    /// Merges a record: what was new in it. Records may come in any order and any number of times.
+    /// Merges a record. Records may be merged in any order and repeatedly.
     pub fn merge(&mut self, now: u64, record: EndpointRecord) -> MergeOutcome {
         let last_heartbeat_at = now.saturating_sub(u64::from(record.age_ms));
         let warmup_ends_at = last_heartbeat_at + u64::from(record.warmup_left_ms);
@@ -145,44 +145,45 @@
             );
             return MergeOutcome::Changed;
         };
-        let held = &mut endpoint.record;
-        let is_later = record.sequence > held.sequence;
-        if is_later {
-            // A later heartbeat of any state shows that the unit was alive then.
-            held.sequence = record.sequence;
-            held.warmup_left_ms = record.warmup_left_ms;
+        let current = &mut endpoint.record;
+        let is_newer = record.sequence > current.sequence;
+        if is_newer {
+            // A later heartbeat shows that the endpoint was alive then, whatever its state.
+            current.sequence = record.sequence;
+            current.warmup_left_ms = record.warmup_left_ms;
             endpoint.last_heartbeat_at = endpoint.last_heartbeat_at.max(last_heartbeat_at);
             endpoint.warmup_ends_at = warmup_ends_at;
         }
-        if record.state > held.state {
-            let (before, after) = (held.state, record.state);
+        if record.state > current.state {
+            let (before, after) = (current.state, record.state);
             self.digests[range] ^= digest_of(&record.id, before) ^ digest_of(&record.id, after);
-            held.state = after;
+            current.state = after;
             return MergeOutcome::Changed;
         }
-        if is_later {
+        if is_newer {
             MergeOutcome::Heartbeat
         } else {
             MergeOutcome::Unchanged
         }
     }
 
-    /// Marks an endpoint as gone; whether that was new. Its later heartbeats do not bring it back.
+    /// Marks a known endpoint as gone; returns whether it was not gone before. Later heartbeats do not revert this.
     pub fn mark_gone(&mut self, id: &str) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return false;
         };
-        let held = &mut endpoint.record;
-        if held.state == EndpointState::Gone {
+        let current = &mut endpoint.record;
+        if current.state == EndpointState::Gone {
             return false;
         }
         self.digests[range_of(id)] ^=
-            digest_of(id, held.state) ^ digest_of(id, EndpointState::Gone);
-        held.state = EndpointState::Gone;
+            digest_of(id, current.state) ^ digest_of(id, EndpointState::Gone);
+        current.state = EndpointState::Gone;
         true
     }
 
-    /// Marks an endpoint as gone that may not be known here: what others still report of it comes too late.
+    /// Marks an endpoint as gone even if it is unknown here, so that late records of it are ignored. Returns whether
+    /// its state changed.
     pub fn deregister(&mut self, now: u64, id: &str) -> bool {
         if self.endpoints.contains_key(id) {
             return self.mark_gone(id);
@@ -190,35 +191,35 @@
         self.merge(now, EndpointRecord::gone(id)) == MergeOutcome::Changed
     }
 
-    /// Removes endpoints that have long been gone.
+    /// Removes endpoints that have been gone for longer than the retention time.
     pub fn remove_expired(&mut self, now: u64) {
         let digests = &mut self.digests;
         self.endpoints.retain(|id, endpoint| {
             let is_gone = endpoint.record.state == EndpointState::Gone;
-            let is_kept = !is_gone || endpoint.last_heartbeat_at + RETENTION_MS > now;
-            if !is_kept {
+            let is_retained = !is_gone || endpoint.last_heartbeat_at + RETENTION_MS > now;
+            if !is_retained {
                 digests[range_of(id)] ^= digest_of(id, EndpointState::Gone);
             }
-            is_kept
+            is_retained
         });
     }
 
-    /// An endpoint.
+    /// Looks up an endpoint by id.
     pub fn get(&self, id: &str) -> Option<&Endpoint> {
         self.endpoints.get(id)
     }
 
-    /// All endpoints, by id.
+    /// All endpoints, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.values()
     }
 
-    /// A digest of each range. Registries that merged the same records have the same digests.
+    /// The digests of all ranges. Registries that have merged the same records have the same digests.
     pub fn digests(&self) -> [u32; DIGEST_RANGES] {
         self.digests
     }
 
-    /// An endpoint's record as it is sent at this time.
+    /// The record of an endpoint for sending now, with its current age.
     pub fn record(&self, now: u64, id: &str) -> Option<EndpointRecord> {
         let endpoint = self.endpoints.get(id)?;
         let age_ms = now
@@ -230,12 +231,12 @@
         })
     }
 
-    /// The ids in the ranges in which another registry differs.
+    /// The ids in the ranges whose digests differ from those of another registry.
     pub fn ids_in_differing_ranges<'a>(
         &'a self,
-        theirs: &'a [u32; DIGEST_RANGES],
+        other_digests: &'a [u32; DIGEST_RANGES],
     ) -> impl Iterator<Item = &'a str> {
         let ids = self.endpoints.keys().map(String::as_str);
-        ids.filter(move |id| self.digests[range_of(id)] != theirs[range_of(id)])
+        ids.filter(move |id| self.digests[range_of(id)] != other_digests[range_of(id)])
     }
 }
