--- a/crates/beechcroft-hotkeys/src/affinity.rs
+++ b/crates/beechcroft-hotkeys/src/affinity.rs
@@ -1,17 +1,17 @@
-//! Affinity of one client's connection: lookups of a key stay where its last response came from, or where its own
-//! write was acknowledged, until all endpoints are sure to hold what that endpoint held.
+//! Session affinity of one client connection: lookups of a key stay at the endpoint that last responded, or
+//! acknowledged the client's own write, until all endpoints have replicated what that endpoint binding.
 
 use std::rc::Rc;
 
-/// Keys that a connection remembers. The oldest is forgotten.
+/// Maximum number of keys that a connection remembers. The oldest one is evicted.
 const MAX_KEYS: usize = 8;
 
-/// A key's endpoint on this connection.
+/// The endpoint that a key is bound to on this connection.
 #[derive(Clone, Debug)]
 struct Binding {
     key: u64,
     endpoint: Rc<str>,
-    /// Until when the key is bound.
+    /// When the binding expires.
     expires_at: u64,
 }
 
@@ -20,19 +20,20 @@
 pub struct SessionAffinity(Vec<Binding>);
 
 impl SessionAffinity {
-    /// The endpoint that a key's next request on this connection goes to, if it is bound to one.
+    /// The endpoint that this connection's next request for the key must go to, if the key is bound.
     pub fn endpoint(&self, now: u64, key: u64) -> Option<Rc<str>> {
-        let held = self
+        let binding = self
             .0
             .iter()
-            .find(|held| held.key == key && held.expires_at > now);
-        held.map(|held| held.endpoint.clone())
+            .find(|binding| binding.key == key && binding.expires_at > now);
+        binding.map(|binding| binding.endpoint.clone())
     }
 
-    /// An endpoint has responded. `max_staleness_ms`: within so long all endpoints hold what one has acknowledged or shown.
+    /// Binds a key to the endpoint that has responded. `max_staleness_ms` is the time within which all endpoints have
+    /// what any of them has acknowledged or returned; 0 for no binding.
     pub fn on_response(&mut self, now: u64, key: u64, endpoint: &Rc<str>, max_staleness_ms: u64) {
         self.0
-            .retain(|held| held.key != key && held.expires_at > now);
+            .retain(|binding| binding.key != key && binding.expires_at > now);
         if self.0.len() >= MAX_KEYS {
             self.0.remove(0);
         }
@@ -46,7 +47,7 @@
         }
     }
 
-    /// How many keys are remembered: [`SessionAffinity::CAPACITY`] at most.
+    /// Number of keys that are remembered, at most [`SessionAffinity::CAPACITY`].
     pub fn len(&self) -> usize {
         self.0.len()
     }
@@ -56,6 +57,6 @@
         self.0.is_empty()
     }
 
-    /// The largest number of keys that a connection remembers.
+    /// Maximum number of keys that a connection remembers.
     pub const CAPACITY: usize = MAX_KEYS;
 }
--- a/crates/beechcroft-hotkeys/src/detector.rs
+++ b/crates/beechcroft-hotkeys/src/detector.rs
@@ -1,103 +1,106 @@
-//! The detector of hot keys: a sketch of this proxy's lookups, and the reports of the region's other proxies.
+//! Detection of hot keys, from a sketch of this proxy's lookups and the reports of the region's other proxies.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use topk::FilteredSpaceSaving;
 
-/// Keys that a proxy's sketch distinguishes. A key with a share above 1 / `TRACKED_KEYS` of what the proxy sees is
-/// among them; a count is too high by no more than the sum over `TRACKED_KEYS`.
+/// Number of keys in a proxy's sketch. It contains every key with a share above 1 / `TRACKED_KEYS` of the proxy's
+/// lookups, and overestimates a count by at most the total divided by `TRACKED_KEYS`.
 pub const TRACKED_KEYS: usize = 256;
-/// The share of an endpoint's capacity that a hot key's spread aims at. Other keys there keep the rest.
+/// Target for a hot key's share of the capacity of each endpoint in its spread. The rest is left to other keys.
 pub const TARGET_SHARE: f64 = 0.3;
-/// The share of an endpoint's slots that a hot key may hold at a moment.
+/// Fraction of an endpoint's slots that one hot key may occupy at a time.
 pub const SLOT_SHARE: f64 = 0.5;
 
-/// Counts fade to a third in this time, so that a count is a rate over about as long. In milliseconds.
-const FADE_MS: f64 = 1000.0;
-/// Between two updates of the spread, in milliseconds.
+/// Time constant with which counts decay (to 1/e, about a third), in milliseconds. A count is therefore a rate over
+/// about this time.
+const DECAY_MS: f64 = 1000.0;
+/// Interval between updates of the spreads, in milliseconds.
 const TICK_MS: u64 = 100;
-/// The heaviest keys that a proxy reports.
-const REPORTED_KEYS: usize = 6;
-/// A key is reported from this share on of the rate that would make it hot, were all proxies of the region asked as
-/// often.
+/// Maximum number of keys in a report, the heaviest first.
+const MAX_REPORTED_KEYS: usize = 6;
+/// A proxy reports a key from this fraction of its share of the hot rate on. The shares assume that all proxies of the
+/// region receive equally many lookups.
 const REPORT_SHARE: f64 = 0.5;
-/// Once reported, it is reported until it has fallen to this share of that.
+/// A reported key stays in the reports until its rate falls below this fraction of the reporting threshold.
 const REPORT_HYSTERESIS: f64 = 0.5;
-/// A rate that has changed by this factor since it was last reported is reported again.
+/// Factor between the last reported and the current rate above which a change is reported before the regular interval.
 const CHANGE_FACTOR: f64 = 2.0;
-/// A change beyond so many standard deviations of chance is reported soon.
-const CHANCE_DEVIATIONS: f64 = 2.0;
-/// How soon a large change is reported, in milliseconds.
-const REPORT_SOON_MS: u64 = 200;
-/// How soon any other change is reported, in milliseconds.
-const REPORT_CHANGE_MS: u64 = 1000;
-/// How often an unchanged rate is reported, so that it does not lapse, in milliseconds.
-const REPORT_UNCHANGED_MS: u64 = 3000;
-/// After how long a report lapses, in milliseconds: one report of three may be lost.
-const REPORT_LAPSE_MS: u64 = 7000;
-/// A spread shrinks once a smaller one would carry the key at this share of the target: the gap prevents oscillation.
+/// Number of standard deviations (of a Poisson count) above which such a change is significant and is reported
+/// promptly.
+const SIGNIFICANT_DEVIATIONS: f64 = 2.0;
+/// Delay of the report of a significant change, in milliseconds.
+const SIGNIFICANT_CHANGE_DELAY_MS: u64 = 200;
+/// Delay of the report of any other change, in milliseconds.
+const CHANGE_DELAY_MS: u64 = 1000;
+/// Interval of reports on unchanged rates, which keeps them from expiring, in milliseconds.
+const UNCHANGED_INTERVAL_MS: u64 = 3000;
+/// Time after which a report expires, in milliseconds. Allows for the loss of one of three reports.
+const REPORT_EXPIRY_MS: u64 = 7000;
+/// A spread shrinks when a smaller one would carry the key at this fraction of the target. The gap prevents
+/// oscillation.
 const SHRINK_SHARE: f64 = 0.6;
-/// A spread grows to what is needed, but at most to this multiple of itself in a step.
+/// Maximum factor by which a spread grows in one step.
 const GROWTH_FACTOR: f64 = 4.0;
-/// Between two steps of growth, in milliseconds.
+/// Minimum interval between steps of growth, in milliseconds.
 const GROW_INTERVAL_MS: u64 = 200;
-/// Between two steps of shrinking, by one in four, in milliseconds.
+/// Minimum interval between steps of shrinking, each by a quarter, in milliseconds.
 const SHRINK_INTERVAL_MS: u64 = 1000;
-/// Counts are kept in hundredths: the sketch's are whole numbers, and they fade.
+/// Counts are scaled by this factor: the sketch holds integers, and they decay.
 const COUNT_SCALE: u64 = 100;
 
-/// A proxy's report on a service's keys, in lookups a second.
+/// A proxy's report on the keys of a service, in lookups per second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HotKeyReport {
-    /// The rate of all lookups.
+    /// The rate of all lookups of the service.
     pub total_rate: f32,
-    /// The heaviest keys with their rates.
+    /// The hashes of the heaviest keys, with their rates.
     pub keys: Vec<(u64, f32)>,
 }
 
 impl HotKeyReport {
     fn rate(&self, key: u64) -> f64 {
-        let held = self.keys.iter().find(|(of, _)| *of == key);
-        held.map_or(0.0, |&(_, rate)| f64::from(rate))
+        let entry = self.keys.iter().find(|(reported, _)| *reported == key);
+        entry.map_or(0.0, |&(_, rate)| f64::from(rate))
     }
 }
 
 /// The latest report of another proxy.
 struct PeerReport {
-    /// The incarnation of the proxy's process and the number of the report: each counts once, the latest holds.
-    number: (u64, u32),
-    heard_at: u64,
+    /// The incarnation of the proxy's process and the report's sequence number. The highest one replaces earlier ones.
+    version: (u64, u32),
+    received_at: u64,
     report: HotKeyReport,
 }
 
-/// Over how many endpoints a hot key is spread.
+/// The number of endpoints that a hot key is spread over, and the times of its last changes.
 struct Spread {
     endpoints: usize,
     grown_at: u64,
     shrunk_at: u64,
 }
 
-/// What a service's endpoints bear, for [`HotKeyDetector::tick`].
+/// The capacity of a service's endpoints, for [`HotKeyDetector::tick`].
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceCapacity {
-    /// Endpoints that serve a key that is not hot.
+    /// Number of endpoints that serve a key that is not hot.
     pub default_spread: usize,
-    /// Requests a second that one endpoint bears.
+    /// Requests per second that one endpoint can take.
     pub endpoint_rate: f64,
-    /// Endpoints to spread a key over.
+    /// Number of endpoints that a key can be spread over.
     pub endpoints: usize,
 }
 
-/// One service's keys at one proxy.
+/// Detects the hot keys of one service at one proxy.
 pub struct HotKeyDetector {
     sketch: FilteredSpaceSaving<u64>,
-    /// The faded number of all lookups.
+    /// The decayed number of all lookups.
     total: f64,
-    faded_at: u64,
-    /// The latest reports of the region's other proxies, by proxy.
+    decayed_at: u64,
+    /// The latest reports of the region's other proxies, by proxy name.
     peers: BTreeMap<String, PeerReport>,
     spreads: BTreeMap<u64, Spread>,
-    /// The rate of a key here from which it is reported.
+    /// The rate at this proxy from which a key is reported, in lookups per second.
     report_threshold: f64,
     last_report: HotKeyReport,
     last_report_at: u64,
@@ -108,7 +111,7 @@
         HotKeyDetector {
             sketch: FilteredSpaceSaving::new(TRACKED_KEYS),
             total: 0.0,
-            faded_at: 0,
+            decayed_at: 0,
             peers: BTreeMap::new(),
             spreads: BTreeMap::new(),
             report_threshold: f64::INFINITY,
@@ -118,35 +121,40 @@
     }
 }
 
-/// The rate of a faded count, in lookups a second.
+/// Converts a decayed count to lookups per second.
 fn rate_of(count: f64) -> f64 {
-    count / FADE_MS * 1000.0
+    count / DECAY_MS * 1000.0
 }
 
 impl HotKeyDetector {
-    /// A client has looked up a key.
+    /// Records a client's lookup of a key.
     pub fn record_lookup(&mut self, key: u64) {
         self.sketch.insert(key, COUNT_SCALE);
         self.total += 1.0;
     }
 
-    /// How many keys the sketch holds now: [`TRACKED_KEYS`] at most.
+    /// Number of keys in the sketch, at most [`TRACKED_KEYS`].
     pub fn tracked_keys(&self) -> usize {
         self.sketch.iter().count()
     }
 
-    /// The rate of a key as this proxy counts it.
+    /// A key's rate by this proxy's own count, in lookups per second.
     fn own_rate(&self, key: u64) -> f64 {
         let counter = self.sketch.get(&key);
         counter.map_or(0.0, |counter| {
             let count = counter.estimated_count() - counter.associated_error();
-            count as f64 / COUNT_SCALE as f64 / FADE_MS * 1000.0
+            count as f64 / COUNT_SCALE as f64 / DECAY_MS * 1000.0
         })
     }
 
-    /// The heaviest keys here that are worth reporting.
-    fn heaviest(&self) -> HotKeyReport {
-        let was_reported = |key: u64| self.last_report.keys.iter().any(|&(of, _)| of == key);
+    /// A report of the heaviest keys at this proxy that exceed the reporting threshold.
+    fn heavy_key_report(&self) -> HotKeyReport {
+        let was_reported = |key: u64| {
+            self.last_report
+                .keys
+                .iter()
+                .any(|&(reported, _)| reported == key)
+        };
         let threshold = |key: u64| {
             self.report_threshold
                 * if was_reported(key) {
@@ -166,19 +174,20 @@
             .map(|(key, rate)| (key, rate as f32))
             .collect();
         keys.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        keys.truncate(REPORTED_KEYS);
+        keys.truncate(MAX_REPORTED_KEYS);
         HotKeyReport {
             total_rate: rate_of(self.total) as f32,
             keys,
         }
     }
 
-    /// The report that is due now, if one is; once also that there is nothing to report any more.
+    /// The report that is due now, if any. When the last reported keys fall below the threshold, one report without
+    /// them is due.
     pub fn next_report(&mut self, now: u64) -> Option<HotKeyReport> {
-        if now < self.last_report_at + REPORT_SOON_MS {
+        if now < self.last_report_at + SIGNIFICANT_CHANGE_DELAY_MS {
             return None;
         }
-        let report = self.heaviest();
+        let report = self.heavy_key_report();
         let keys = report.keys.iter().chain(&self.last_report.keys);
         let delay = keys.map(|&(key, _)| {
             let (new, last) = (report.rate(key), self.last_report.rate(key));
@@ -193,7 +202,7 @@
         })
     }
 
-    /// Another proxy of the region has reported.
+    /// Records a report of another proxy of the region. Duplicates and reports older than the latest one are ignored.
     pub fn add_report(
         &mut self,
         now: u64,
@@ -202,62 +211,63 @@
         sequence: u32,
         report: HotKeyReport,
     ) {
-        let number = (incarnation, sequence);
+        let version = (incarnation, sequence);
         if self
             .peers
             .get(proxy)
-            .is_none_or(|held| held.number < number)
+            .is_none_or(|latest| latest.version < version)
         {
             self.peers.insert(
                 proxy.to_owned(),
                 PeerReport {
-                    number,
-                    heard_at: now,
+                    version,
+                    received_at: now,
                     report,
                 },
             );
         }
     }
 
-    /// The rate of a key in the region, as far as it is reported.
+    /// A key's rate in the region, in lookups per second: this proxy's own rate plus the reported rates of the others.
     pub fn regional_rate(&self, key: u64) -> f64 {
         let reported = self.peers.values().flat_map(|peer| &peer.report.keys);
         let rates = reported
-            .filter(|(of, _)| *of == key)
+            .filter(|(reported, _)| *reported == key)
             .map(|&(_, rate)| f64::from(rate));
         self.own_rate(key) + rates.sum::<f64>()
     }
 
-    /// Time has passed. `proxies`: how many the region has, this one among them.
+    /// Decays the counts, expires reports and updates the spreads. `proxies` is the number of proxies in the region,
+    /// including this one.
     pub fn tick(&mut self, now: u64, capacity: ServiceCapacity, proxies: usize) {
-        if now < self.faded_at + TICK_MS {
+        if now < self.decayed_at + TICK_MS {
             return;
         }
-        let passed = if self.faded_at == 0 {
+        let elapsed_ms = if self.decayed_at == 0 {
             TICK_MS
         } else {
-            now - self.faded_at
+            now - self.decayed_at
         };
-        let fade = (-(passed as f64) / FADE_MS).exp();
-        self.faded_at = now;
-        self.sketch.decay(fade);
-        self.total *= fade;
-        let usual_rate = TARGET_SHARE * capacity.endpoint_rate * capacity.default_spread as f64;
-        self.report_threshold = REPORT_SHARE * usual_rate / proxies.max(1) as f64;
+        let decay = (-(elapsed_ms as f64) / DECAY_MS).exp();
+        self.decayed_at = now;
+        self.sketch.decay(decay);
+        self.total *= decay;
+        let hot_rate = TARGET_SHARE * capacity.endpoint_rate * capacity.default_spread as f64;
+        self.report_threshold = REPORT_SHARE * hot_rate / proxies.max(1) as f64;
         self.peers
-            .retain(|_, peer| peer.heard_at + REPORT_LAPSE_MS > now);
+            .retain(|_, peer| peer.received_at + REPORT_EXPIRY_MS > now);
         for key in self.candidates() {
             let rate = self.regional_rate(key);
             self.adjust_spread(now, key, rate, capacity);
         }
     }
 
-    /// Keys that are spread, reported by others or heavy here.
+    /// The keys that are spread already, reported by other proxies or heavy at this one.
     fn candidates(&self) -> Vec<u64> {
         let mut keys: Vec<u64> = self.spreads.keys().copied().collect();
         let reported = self.peers.values().flat_map(|peer| &peer.report.keys);
         keys.extend(reported.map(|&(key, _)| key));
-        keys.extend(self.heaviest().keys.into_iter().map(|(key, _)| key));
+        keys.extend(self.heavy_key_report().keys.into_iter().map(|(key, _)| key));
         keys.sort_unstable();
         keys.dedup();
         keys
@@ -265,16 +275,19 @@
 
     fn adjust_spread(&mut self, now: u64, key: u64, rate: f64, capacity: ServiceCapacity) {
         let ServiceCapacity {
-            default_spread: usual,
+            default_spread,
             endpoint_rate,
             endpoints,
         } = capacity;
         let target = (TARGET_SHARE * endpoint_rate).max(0.1);
         let needed = ((rate / target).ceil() as usize).min(endpoints);
         let Some(spread) = self.spreads.get_mut(&key) else {
-            if needed > usual {
-                let most = (usual as f64 * GROWTH_FACTOR) as usize;
-                let endpoints = needed.min(most).max(usual + 1).min(endpoints);
+            if needed > default_spread {
+                let max_initial = (default_spread as f64 * GROWTH_FACTOR) as usize;
+                let endpoints = needed
+                    .min(max_initial)
+                    .max(default_spread + 1)
+                    .min(endpoints);
                 self.spreads.insert(
                     key,
                     Spread {
@@ -291,23 +304,23 @@
             (spread.grown_at, spread.shrunk_at) = (now, now);
         }
         spread.endpoints = spread.endpoints.min(endpoints.max(1));
-        let smaller = (spread.endpoints * 3 / 4).min(spread.endpoints.saturating_sub(1));
-        let bearable = SHRINK_SHARE * target * smaller.max(usual) as f64;
-        if rate < bearable && now >= spread.shrunk_at + SHRINK_INTERVAL_MS {
-            spread.endpoints = smaller;
+        let shrunk = (spread.endpoints * 3 / 4).min(spread.endpoints.saturating_sub(1));
+        let shrink_limit = SHRINK_SHARE * target * shrunk.max(default_spread) as f64;
+        if rate < shrink_limit && now >= spread.shrunk_at + SHRINK_INTERVAL_MS {
+            spread.endpoints = shrunk;
             spread.shrunk_at = now;
         }
-        if spread.endpoints <= usual {
+        if spread.endpoints <= default_spread {
             self.spreads.remove(&key);
         }
     }
 
-    /// Over how many endpoints a hot key is spread; `None` if the key is not hot.
+    /// Number of endpoints that a hot key is spread over; `None` if the key is not hot.
     pub fn spread(&self, key: u64) -> Option<usize> {
         self.spreads.get(&key).map(|spread| spread.endpoints)
     }
 
-    /// The keys that are hot now, each with the number of its endpoints.
+    /// The keys that are hot now, with the number of endpoints that each is spread over.
     pub fn hot_keys(&self) -> impl Iterator<Item = (u64, usize)> + '_ {
         self.spreads
             .iter()
@@ -315,13 +328,14 @@
     }
 }
 
-/// How long after the last report a rate is reported again that was between these two, in milliseconds.
+/// Time from the last report to the next one, in milliseconds, for a key whose last reported and current rates are
+/// `lower` and `higher` in ascending order.
 fn report_delay(lower: f64, higher: f64) -> u64 {
     if higher <= CHANGE_FACTOR * lower {
-        REPORT_UNCHANGED_MS
-    } else if higher - lower > CHANCE_DEVIATIONS * higher.sqrt() {
-        REPORT_SOON_MS
+        UNCHANGED_INTERVAL_MS
+    } else if higher - lower > SIGNIFICANT_DEVIATIONS * higher.sqrt() {
+        SIGNIFICANT_CHANGE_DELAY_MS
     } else {
-        REPORT_CHANGE_MS
+        CHANGE_DELAY_MS
     }
 }
--- a/crates/beechcroft-hotkeys/src/lib.rs
+++ b/crates/beechcroft-hotkeys/src/lib.rs
@@ -1,11 +1,11 @@
-//! Hot keys: noticing keys that everybody asks for, and spreading them over more endpoints.
+//! Hot keys: detection of keys with a high rate of lookups, and spreading them over more endpoints.
 //!
-//! A service whose configuration sets `usualPlaces` above 0 answers each key on a few endpoints. [`HotKeyDetector`]
-//! notices a key that is hot for the whole region, not for one proxy, and says over how many endpoints it is spread.
-//! [`rank_endpoints`] says over which ones, by weighted rendezvous hashing. [`SessionAffinity`] keeps a client's
-//! lookups where its last write is known.
+//! A service whose configuration sets `usualPlaces` above 0 serves each key at a few endpoints. [`HotKeyDetector`]
+//! detects keys that are hot in the whole region, not only at one proxy, and sets the number of endpoints that each is
+//! spread over. [`rank_endpoints`] selects these endpoints by weighted rendezvous hashing. [`SessionAffinity`] keeps a
+//! client's lookups at the endpoint that has its last write.
 //!
-//! No I/O; times are milliseconds of a steady clock.
+//! No I/O. Times are milliseconds of a monotonic clock.
 
 #![warn(missing_docs)]
 
