--- a/crates/beechcroft-outlier/src/detector.rs
+++ b/crates/beechcroft-outlier/src/detector.rs
@@ -1,29 +1,31 @@
-//! The detector: the evidence on one service's endpoints.
+//! The detector merges the observations of all proxies on the endpoints of one service.
 
-use crate::verdict::{verdict, Evidence, Verdict, KEPT_PERIODS, LOST_PERIODS, STALE_PERIODS};
+use crate::verdict::{
+    verdict, Evidence, Verdict, RETAINED_PERIODS, STALE_PERIODS, UNREACHABLE_PERIODS,
+};
 use crate::{EndpointKey, Observation, OutcomeCounts};
 use beechcroft_config::config::OutlierRules;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Periods that [`OutlierDetector::evidence_lines`] shows of each proxy.
-const SHOWN_PERIODS: usize = 5;
+/// Number of periods of each proxy in [`OutlierDetector::evidence_lines`].
+const DISPLAYED_PERIODS: usize = 5;
 
-/// The evidence on one service's endpoints.
+/// The evidence on the endpoints of one service.
 #[derive(Clone, Debug, Default)]
 pub struct OutlierDetector {
     endpoints: BTreeMap<EndpointKey, Evidence>,
-    /// The incarnation and the latest period heard of each proxy: an observation counts once.
-    heard: BTreeMap<String, (u64, u32)>,
-    /// The period by this node's own clock: time passes while nobody reports anything, too.
+    /// The incarnation and the latest period of each proxy, which bound the observations that count.
+    latest_reports: BTreeMap<String, (u64, u32)>,
+    /// The current period by this node's own clock. It lets time pass while no proxy reports anything.
     clock: u32,
 }
 
 impl OutlierDetector {
-    /// Merges an observation. They may come in any order and any number of times. Those of a proxy that is cut off, or
-    /// that has just woken with old ones, do not count.
+    /// Merges an observation. Observations may be merged in any order and repeatedly. Those of an isolated proxy are
+    /// ignored, as are those that are stale because the proxy was suspended.
     pub fn merge(&mut self, observation: &Observation) {
         let latest = self
-            .heard
+            .latest_reports
             .values()
             .map(|&(_, period)| period)
             .max()
@@ -39,21 +41,22 @@
             ..
         } = observation;
         let (incarnation, period) = (*incarnation, *period);
-        let held = self
-            .heard
+        let latest_report = self
+            .latest_reports
             .entry(proxy.clone())
             .or_insert((incarnation, period));
-        if incarnation < held.0 {
+        if incarnation < latest_report.0 {
             return;
         }
-        *held = (*held).max((incarnation, period));
+        *latest_report = (*latest_report).max((incarnation, period));
         for &(endpoint, counts) in &observation.endpoints {
             let evidence = self.endpoints.entry(endpoint).or_default();
             evidence.merge(proxy, region, incarnation, period, counts);
         }
     }
 
-    /// Endpoints that some proxy has lately reported: whoever sends requests to them reports what it observes.
+    /// The endpoints of which some proxy has recently reported a failure. All proxies that send requests to them report
+    /// their observations of them.
     pub fn suspected_endpoints(&self) -> BTreeSet<EndpointKey> {
         let now = self.now();
         let is_suspect = |(_, evidence): &(&EndpointKey, &Evidence)| evidence.has_failures(now);
@@ -66,7 +69,7 @@
 
     /// The latest period that any proxy has reported or this node's clock has reached.
     fn now(&self) -> u32 {
-        self.heard
+        self.latest_reports
             .values()
             .map(|&(_, period)| period)
             .max()
@@ -74,12 +77,12 @@
             .max(self.clock)
     }
 
-    /// This node's clock has reached a period.
+    /// Advances this node's clock to a period.
     pub fn advance_clock(&mut self, period: u32) {
         self.clock = self.clock.max(period);
     }
 
-    /// What proxies have reported of an endpoint: a line for each, the latest periods first.
+    /// The evidence on an endpoint as text: one line per proxy, the latest periods first.
     pub fn evidence_lines(&self, endpoint: EndpointKey) -> Vec<String> {
         let proxies = self
             .endpoints
@@ -88,24 +91,24 @@
             .flat_map(Evidence::proxies);
         proxies
             .map(|(proxy, history)| {
-                let latest = history.periods.iter().rev().take(SHOWN_PERIODS);
-                let shown: Vec<String> = latest
-                    .map(|(period, counts)| show(*period, counts))
+                let latest = history.periods.iter().rev().take(DISPLAYED_PERIODS);
+                let periods: Vec<String> = latest
+                    .map(|(period, counts)| format_counts(*period, counts))
                     .collect();
-                format!("{} {proxy}: {}", history.region, shown.join("; "))
+                format!("{} {proxy}: {}", history.region, periods.join("; "))
             })
             .collect()
     }
 
-    /// Keeps the endpoints that are still known.
+    /// Removes the evidence on all endpoints that are no longer known.
     pub fn retain(&mut self, is_known: impl Fn(EndpointKey) -> bool) {
         self.endpoints.retain(|&endpoint, _| is_known(endpoint));
     }
 
     /// The verdicts on all endpoints with evidence.
     ///
-    /// `endpoints` is how many the service has, `regions` how many regions the proxies are in. Where more would be
-    /// ejected than the rules allow, none is: the endpoints are not the cause then.
+    /// `endpoints` is the number of endpoints of the service, `regions` the number of regions with proxies. If more
+    /// endpoints would be ejected than the rules allow, none is: so many unhealthy endpoints indicate another cause.
     pub fn verdicts(
         &self,
         rules: &OutlierRules,
@@ -130,7 +133,7 @@
         verdicts
     }
 
-    /// The verdict on one endpoint, before the share of ejected endpoints is limited.
+    /// The verdict on one endpoint, without the limit on the share of ejected endpoints.
     pub fn verdict(&self, endpoint: EndpointKey, rules: &OutlierRules, regions: usize) -> Verdict {
         let evidence = self.endpoints.get(&endpoint);
         evidence.map_or(Verdict::Healthy, |evidence| {
@@ -138,27 +141,27 @@
         })
     }
 
-    /// Whether a region is among those that cannot reach an endpoint.
+    /// Whether the proxies of a region have recently failed to reach an endpoint.
     pub fn is_unreachable_from(&self, endpoint: EndpointKey, region: &str) -> bool {
         let Some(evidence) = self.endpoints.get(&endpoint) else {
             return false;
         };
-        let first = self.now().saturating_sub(LOST_PERIODS as u32 - 1);
+        let first = self.now().saturating_sub(UNREACHABLE_PERIODS as u32 - 1);
         let histories = evidence.proxies().map(|(_, history)| history);
-        let here = histories.filter(|history| history.region == region);
+        let in_region = histories.filter(|history| history.region == region);
         let counts =
-            here.flat_map(|history| history.periods.range(first..).map(|(_, counts)| counts));
-        let (lost, reached) = counts.fold((0, 0), |(lost, reached), counts| {
+            in_region.flat_map(|history| history.periods.range(first..).map(|(_, counts)| counts));
+        let (unreachable, reached) = counts.fold((0, 0), |(unreachable, reached), counts| {
             (
-                lost + u32::from(counts.unreachable),
+                unreachable + u32::from(counts.unreachable),
                 reached + counts.reached(),
             )
         });
-        lost >= 2 && reached == 0
+        unreachable >= 2 && reached == 0
     }
 }
 
-fn show(period: u32, counts: &OutcomeCounts) -> String {
+fn format_counts(period: u32, counts: &OutcomeCounts) -> String {
     let OutcomeCounts {
         responses,
         late,
@@ -167,12 +170,12 @@
         unreachable,
     } = counts;
     format!(
-        "{period}: {responses} answers, {late} late, {errors} errors, {invalid} wrong, {unreachable} unreachable"
+        "{period}: {responses} responses, {late} late, {errors} errors, {invalid} invalid, {unreachable} unreachable"
     )
 }
 
 impl Evidence {
-    /// Adds a proxy's counts of one period. A later incarnation of the proxy starts anew.
+    /// Adds a proxy's counts of one period. A later incarnation of the proxy replaces the counts of the earlier one.
     fn merge(
         &mut self,
         proxy: &str,
@@ -188,12 +191,12 @@
             history.periods.clear();
         }
         history.periods.insert(period, counts);
-        while history.periods.len() > KEPT_PERIODS {
+        while history.periods.len() > RETAINED_PERIODS {
             history.periods.pop_first();
         }
     }
 
-    /// Whether some proxy has lately seen a failure.
+    /// Whether any proxy has recently reported a failure.
     fn has_failures(&self, now: u32) -> bool {
         let first = now.saturating_sub(STALE_PERIODS);
         let mut recent = self
--- a/crates/beechcroft-outlier/src/lib.rs
+++ b/crates/beechcroft-outlier/src/lib.rs
@@ -1,12 +1,12 @@
-//! Outlier detection: whether an endpoint is healthy, by what proxies of all regions observed of it and by what its
-//! service's configuration calls unhealthy.
+//! Outlier detection: whether an endpoint is healthy, based on the observations of the proxies in all regions and on
+//! the rules in its service's configuration.
 //!
-//! [`OutlierDetector`] merges [`Observation`]s and gives [`Verdict`]s. The same evidence gives the same verdicts on
-//! every node: nothing else goes in but the service's rules. [`ObservationFilter`] selects what a proxy reports.
-//! [`placement`] says when a proxy may decide which endpoint a non-idempotent request goes to.
+//! [`OutlierDetector`] merges [`Observation`]s and derives [`Verdict`]s. They depend on nothing but the evidence and
+//! the service's rules, so all nodes with the same evidence reach the same verdicts. [`ObservationFilter`] selects what
+//! a proxy reports. [`placement`] decides when a proxy may choose the endpoint for a non-idempotent request.
 //!
-//! No I/O and no clock: time is counted in the periods (seconds) that proxies number. Each region runs a CUSUM over
-//! its counts, as the trial's mechanism does (`docs/design/outlier.md`).
+//! No I/O and no clock: time is counted in periods of one second, which the proxies number. Each region runs a CUSUM
+//! over its counts, like the detection of bad versions in rollouts (`docs/design/outlier.md`).
 
 #![warn(missing_docs)]
 
--- a/crates/beechcroft-outlier/src/placement.rs
+++ b/crates/beechcroft-outlier/src/placement.rs
@@ -1,38 +1,38 @@
-//! When a proxy may decide which endpoint a non-idempotent request goes to: leases and fencing.
+//! Leases and fencing: when a proxy may choose the endpoint for a non-idempotent request.
 //!
-//! That a key has one endpoint at any moment follows from two spans alone. A proxy that has seen no quorum read for
-//! [`LEASE_MS`] decides nothing any more, and an endpoint to which a key has moved is used only [`FENCE_MS`] after the
-//! move was learned, which is longer. So by the time that anybody uses the new endpoint, whoever might still use the
-//! old one has stopped. Clocks are each proxy's own steady ones.
+//! That a key has at most one endpoint at any time follows from two intervals alone. A proxy without a quorum read for
+//! [`LEASE_MS`] stops choosing endpoints, and a key's new endpoint is used only [`FENCE_MS`] after the move was
+//! learned, which is longer. By the time that any proxy uses the new endpoint, every proxy that may still have used the
+//! old one has stopped. All times are of each proxy's own monotonic clock.
 
 use beechcroft_safeguards::Safeguard;
 use std::collections::{BTreeSet, VecDeque};
 
-/// For how long a proxy continues with its placement after the control nodes last showed that they agree, in
-/// milliseconds.
+/// Lease: time for which a proxy may use its placement after a quorum read from the control nodes, in milliseconds.
 pub const LEASE_MS: u64 = 4000;
-/// For how long a moved key waits, in milliseconds: longer than [`LEASE_MS`] and the time that an update takes.
+/// Fence: time for which requests for a moved key wait, in milliseconds. Longer than [`LEASE_MS`] and the delivery of
+/// an update together.
 pub const FENCE_MS: u64 = LEASE_MS + 1500;
-/// Former placements that are kept. With more than these, every key counts as moved.
-const KEPT_PLACEMENTS: usize = 16;
+/// Maximum number of former placements that are kept. When there are more, every key counts as moved.
+const MAX_FORMER_PLACEMENTS: usize = 16;
 
-/// Why a key has no endpoint now.
+/// Why a key has no endpoint at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementError {
-    /// The control nodes have not been heard of for too long.
+    /// The last quorum read is older than the lease.
     LeaseExpired,
-    /// The key was moved just now.
+    /// The key has moved recently and waits for the fence.
     Moving,
 }
 
-/// Whether a key's endpoint may be used.
+/// Checks whether a key's endpoint may be used.
 ///
-/// `quorum_read_at` is when the control nodes last showed that they agree, `moved_at` when a move of this key was
-/// learned.
+/// `quorum_read_at` is the time of the last quorum read from the control nodes, `moved_at` the time at which a move of
+/// this key was learned.
 ///
 /// # Errors
 ///
-/// Both are worth a retry: [`PlacementError::LeaseExpired`] at another proxy, [`PlacementError::Moving`] later.
+/// Both errors may be retried: [`PlacementError::LeaseExpired`] at another proxy, [`PlacementError::Moving`] later.
 pub fn check_placement(
     now: u64,
     quorum_read_at: Option<u64>,
@@ -47,62 +47,63 @@
     }
 }
 
-/// A placement that was replaced.
+/// A placement that has been replaced.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct FormerPlacement {
-    /// When the one after it was learned.
+    /// When its successor was learned.
     replaced_at: u64,
     excluded: BTreeSet<String>,
 }
 
-/// What one proxy knows of a service's placements: which endpoints the newest one excludes, and which those before it
-/// did for as long as another proxy may still use them. A placement whose successor was learned late is as much in
-/// force elsewhere as the newest one, so all of them count, not the last one alone.
+/// A proxy's knowledge of the placements of a service: the endpoints that the newest one excludes, and those that
+/// former ones excluded while other proxies may still use them. A proxy that learns of updates late may still use any
+/// of the former placements, so all of them count, not only the last one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PlacementHistory {
     version: u64,
     excluded: BTreeSet<String>,
     former: VecDeque<FormerPlacement>,
-    /// When a placement was learned after one that this proxy never saw, and which may have moved any key.
-    unseen_at: Option<u64>,
+    /// When this proxy skipped a version of the placement, which may have moved any key.
+    skipped_version_at: Option<u64>,
 }
 
 impl PlacementHistory {
-    /// Learns the newest placement: its version, which rises by one with each, and the endpoints that it excludes.
+    /// Learns the newest placement: its version, which increases by one with each placement, and the endpoints that it
+    /// excludes. Older versions are ignored.
     pub fn learn(&mut self, now: u64, version: u64, excluded: &BTreeSet<String>) {
         if version <= self.version {
             return;
         }
         self.former
             .retain(|former| now < former.replaced_at + FENCE_MS);
-        if version > self.version + 1 || self.former.len() >= KEPT_PLACEMENTS {
-            self.unseen_at = Some(now);
+        if version > self.version + 1 || self.former.len() >= MAX_FORMER_PLACEMENTS {
+            self.skipped_version_at = Some(now);
         }
         let before = std::mem::replace(&mut self.excluded, excluded.clone());
         self.former.push_back(FormerPlacement {
             replaced_at: now,
             excluded: before,
         });
-        if self.former.len() > KEPT_PLACEMENTS {
+        if self.former.len() > MAX_FORMER_PLACEMENTS {
             self.former.pop_front();
         }
         self.version = version;
     }
 
-    /// When the latest move was learned that may have changed a key's endpoint. `endpoint`: where the key goes if these
-    /// endpoints are excluded.
+    /// When the latest move that may have changed a key's endpoint was learned. `endpoint` returns the key's endpoint,
+    /// given the excluded ones.
     pub fn moved_at<E: PartialEq>(&self, endpoint: impl Fn(&BTreeSet<String>) -> E) -> Option<u64> {
         let current = endpoint(&self.excluded);
-        let counted = if Safeguard::EarlierPlacements.is_enabled() {
-            KEPT_PLACEMENTS
+        let considered = if Safeguard::EarlierPlacements.is_enabled() {
+            MAX_FORMER_PLACEMENTS
         } else {
             1
         };
-        let former = self.former.iter().rev().take(counted);
+        let former = self.former.iter().rev().take(considered);
         let moved = former.filter(|former| endpoint(&former.excluded) != current);
-        let unseen = self
-            .unseen_at
+        let skipped = self
+            .skipped_version_at
             .filter(|_| Safeguard::UnseenPlacements.is_enabled());
-        moved.map(|former| former.replaced_at).chain(unseen).max()
+        moved.map(|former| former.replaced_at).chain(skipped).max()
     }
 }
--- a/crates/beechcroft-outlier/src/verdict.rs
+++ b/crates/beechcroft-outlier/src/verdict.rs
@@ -6,43 +6,44 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Periods of each proxy that are kept.
-pub(crate) const KEPT_PERIODS: usize = 48;
-/// Periods without reaching an endpoint after which a region has lost it.
-pub(crate) const LOST_PERIODS: usize = 2;
-/// What a proxy observed so many periods before the latest one heard is no evidence any more.
+/// Number of periods of each proxy that are retained.
+pub(crate) const RETAINED_PERIODS: usize = 48;
+/// Number of periods without a successful contact after which an endpoint is unreachable from a region.
+pub(crate) const UNREACHABLE_PERIODS: usize = 2;
+/// Age, in periods before the latest one reported, beyond which an observation no longer counts.
 pub(crate) const STALE_PERIODS: u32 = 6;
-/// Outcomes in a region below which it raises no alarm.
+/// Minimum number of outcomes in a region for an alarm.
 const MIN_OUTCOMES: u32 = 8;
-/// Of the failure rate that a rule names, what a healthy endpoint may show.
+/// Failure rate of a healthy endpoint, as a fraction of the unhealthy rate in the rules.
 const HEALTHY_SHARE: f64 = 0.2;
-/// The lowest failure rate that a healthy endpoint is taken to have.
+/// Lower bound of the failure rate that is assumed for a healthy endpoint.
 const MIN_HEALTHY_RATE: f64 = 0.005;
-/// The bounds of the failure rate that a rule may name.
+/// Bounds of the unhealthy failure rate in the rules.
 const ERROR_SHARE_BOUNDS: (f64, f64) = (0.02, 0.9);
-/// The sum is capped at so many thresholds, so that what is over is forgotten within a few good periods.
+/// Maximum of a region's CUSUM, in multiples of the alarm threshold, so that it returns below the threshold within a
+/// few healthy periods.
 const CUSUM_CAP: f64 = 4.0;
-/// What an invalid response counts for, in failures.
+/// Number of failures that an invalid response counts as.
 const INVALID_WEIGHT: u32 = 2;
-/// Periods for which an endpoint stays ejected after it was last bad. Doubles with each ejection.
+/// Periods for which an endpoint stays ejected after it was last unhealthy. Doubles with each further ejection.
 const EJECTION_PERIODS: u32 = 3;
-/// How often that doubles at most.
-const EJECTION_DOUBLINGS: u32 = 4;
-/// Periods after which one ejection is forgotten.
-const FORGET_PERIODS: usize = 20;
+/// Maximum number of doublings.
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
+/// Number of periods after which one past ejection no longer counts.
+const EJECTION_MEMORY_PERIODS: usize = 20;
 
-/// The verdict on an endpoint, the better ones first.
+/// The verdict on an endpoint, ordered from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Verdict {
     /// It may get requests.
     Healthy,
-    /// Some regions cannot reach it and others can. Those avoid it; nobody else does.
+    /// It is unreachable from some regions only. Those regions avoid it; the others use it.
     PathLost,
-    /// It is ejected.
+    /// It is ejected in all regions.
     Unhealthy,
 }
 
-/// What one proxy has observed of one endpoint.
+/// One proxy's observations of one endpoint.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProxyHistory {
     pub(crate) region: String,
@@ -50,7 +51,7 @@
     pub(crate) periods: BTreeMap<u32, OutcomeCounts>,
 }
 
-/// What all proxies have observed of one endpoint.
+/// All proxies' observations of one endpoint.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Evidence {
     proxies: BTreeMap<String, ProxyHistory>,
@@ -65,7 +66,7 @@
         self.proxies.entry(proxy.to_owned()).or_default()
     }
 
-    /// The period to judge from.
+    /// The first retained period, from which the CUSUMs are computed.
     fn first_period(&self, now: u32) -> u32 {
         let histories = self.proxies.values();
         let first = histories
@@ -75,10 +76,10 @@
             .copied()
             .unwrap_or(now)
             .min(now)
-            .max(now.saturating_sub(KEPT_PERIODS as u32))
+            .max(now.saturating_sub(RETAINED_PERIODS as u32))
     }
 
-    /// The sums of each region, period by period.
+    /// The counts of each region, period by period.
     fn by_region(
         &self,
         rules: &OutlierRules,
@@ -99,7 +100,7 @@
     }
 }
 
-/// What a region's proxies counted of an endpoint.
+/// The counts of one endpoint, summed over a region's proxies.
 #[derive(Clone, Copy, Debug, Default)]
 struct RegionCounts {
     bad: u32,
@@ -122,10 +123,10 @@
         self.unreachable += u32::from(counts.unreachable);
     }
 
-    /// The sum over the periods up to `at`, no more than `periods` of them.
-    fn recent(sums: &[RegionCounts], at: usize, periods: usize) -> RegionCounts {
-        let first = (at + 1).saturating_sub(periods);
-        sums[first..=at]
+    /// The sum over the last `periods` periods up to and including `index`, or over fewer at the beginning.
+    fn recent(sums: &[RegionCounts], index: usize, periods: usize) -> RegionCounts {
+        let first = (index + 1).saturating_sub(periods);
+        sums[first..=index]
             .iter()
             .fold(RegionCounts::default(), |all, sum| RegionCounts {
                 bad: all.bad + sum.bad,
@@ -136,7 +137,7 @@
     }
 }
 
-/// Log-likelihood ratios of outcomes, in nats: of a rate that is unhealthy over one that is healthy.
+/// Log-likelihood ratios of an outcome, in nats: unhealthy over healthy failure rate.
 struct Ratios {
     bad: f64,
     good: f64,
@@ -155,46 +156,48 @@
     }
 }
 
-/// What the regions together say of an endpoint in one period.
+/// The result of all regions for one endpoint and one period.
 struct PeriodResult {
     is_unhealthy: bool,
     is_path_lost: bool,
 }
 
-/// Judges one period: advances each region's CUSUM, and weighs their one-bit alarms by what they reached lately.
-fn judge_period(
+/// Evaluates one period: advances each region's CUSUM, and weights the regions' alarms by the requests that recently
+/// reached the endpoint.
+fn evaluate_period(
     regions: &BTreeMap<&str, Vec<RegionCounts>>,
     cusums: &mut [Cusum],
     ratios: &Ratios,
     required: usize,
-    at: usize,
+    index: usize,
 ) -> PeriodResult {
     let (mut alarms, mut alarmed_weight, mut total_weight) = (0, 0.0, 0.0);
-    let (mut lost, mut reaching) = (0, 0);
+    let (mut unreachable_regions, mut reaching_regions) = (0, 0);
     for (sums, cusum) in regions.values().zip(cusums) {
-        cusum.z = f64::from(sums[at].bad) * ratios.bad + f64::from(sums[at].good) * ratios.good;
+        cusum.z =
+            f64::from(sums[index].bad) * ratios.bad + f64::from(sums[index].good) * ratios.good;
         cusum.tick();
         cusum.w = cusum.w.min(CUSUM_CAP * NATS_FLOOR);
-        let recent = RegionCounts::recent(sums, at, STALE_PERIODS as usize);
-        let latest = RegionCounts::recent(sums, at, LOST_PERIODS);
+        let recent = RegionCounts::recent(sums, index, STALE_PERIODS as usize);
+        let latest = RegionCounts::recent(sums, index, UNREACHABLE_PERIODS);
         total_weight += f64::from(recent.reached);
         if cusum.w > NATS_FLOOR && recent.reached >= MIN_OUTCOMES {
             alarms += 1;
             alarmed_weight += f64::from(recent.reached);
         }
-        lost += usize::from(latest.unreachable >= 2 && latest.reached == 0);
-        reaching += usize::from(latest.reached > 0);
+        unreachable_regions += usize::from(latest.unreachable >= 2 && latest.reached == 0);
+        reaching_regions += usize::from(latest.reached > 0);
     }
     let is_failing = alarms >= required && alarmed_weight * 2.0 >= total_weight;
-    let is_gone = lost >= required && reaching == 0;
+    let is_unreachable = unreachable_regions >= required && reaching_regions == 0;
     PeriodResult {
-        is_unhealthy: is_failing || is_gone,
-        is_path_lost: lost > 0 && !is_gone,
+        is_unhealthy: is_failing || is_unreachable,
+        is_path_lost: unreachable_regions > 0 && !is_unreachable,
     }
 }
 
-/// The verdict on an endpoint. `regions` is how many there are. What counts is the latest period in which the endpoint
-/// was unhealthy, and how often it became so.
+/// The verdict on an endpoint; `regions` is the number of regions with proxies. It depends on the latest period in
+/// which the endpoint was unhealthy, and on how often it became unhealthy.
 pub(crate) fn verdict(
     evidence: &Evidence,
     rules: &OutlierRules,
@@ -209,34 +212,34 @@
     let (mut onsets, mut last_unhealthy) = (Vec::new(), None);
     let (mut was_unhealthy, mut is_path_lost) = (false, false);
     let end = (now - first) as usize;
-    for at in 0..=end {
-        let result = judge_period(&by_region, &mut cusums, &ratios, required, at);
+    for index in 0..=end {
+        let result = evaluate_period(&by_region, &mut cusums, &ratios, required, index);
         is_path_lost = result.is_path_lost;
         if result.is_unhealthy {
             if !was_unhealthy {
-                onsets.push(at);
+                onsets.push(index);
             }
-            last_unhealthy = Some(at);
+            last_unhealthy = Some(index);
         }
         was_unhealthy = result.is_unhealthy;
     }
     match last_unhealthy {
-        Some(at) if end < at + ejection_periods(&onsets, end) => Verdict::Unhealthy,
+        Some(index) if end < index + ejection_periods(&onsets, end) => Verdict::Unhealthy,
         _ if is_path_lost => Verdict::PathLost,
         _ => Verdict::Healthy,
     }
 }
 
-/// For how many periods an endpoint stays ejected. Each ejection counts, the older the less: after a while one is
-/// forgotten.
+/// The number of periods for which an endpoint stays ejected. It grows with the number of recent ejections; past ones
+/// are forgotten one by one as time passes.
 fn ejection_periods(onsets: &[usize], end: usize) -> usize {
-    let forgotten = |at: usize| (end - at) / FORGET_PERIODS;
+    let forgotten = |index: usize| (end - index) / EJECTION_MEMORY_PERIODS;
     let remembered = onsets
         .iter()
         .enumerate()
-        .filter(|&(nth, &at)| onsets.len() - nth > forgotten(at));
+        .filter(|&(nth, &index)| onsets.len() - nth > forgotten(index));
     let doublings = (remembered.count() as u32)
         .saturating_sub(1)
-        .min(EJECTION_DOUBLINGS);
+        .min(MAX_EJECTION_DOUBLINGS);
     (EJECTION_PERIODS << doublings) as usize
 }
