--- a/crates/beechcroft-consensus/src/acceptor.rs
+++ b/crates/beechcroft-consensus/src/acceptor.rs
@@ -14,7 +14,7 @@
 /// The key of the record that holds a [`ReplicaIdentity`]. An empty record says that there was one.
 pub const IDENTITY_KEY: &str = "identity";
 /// The key of the record that holds the identity that this node had before it was deposed.
-pub const FORMER_KEY: &str = "former";
+pub const FORMER_IDENTITY_KEY: &str = "former";
 /// The keys of the records that hold a [`Register`] each.
 pub const REGISTER_KEYS: PerRegister<&str> = PerRegister(["register-0", "register-1"]);
 /// Two nodes that draw the same epoch draw the next ones at most so far apart.
@@ -87,7 +87,7 @@
 /// # A lost disk
 ///
 /// A node with an empty disk, where the system has run before, is a learner. It draws an epoch above all that are
-/// known of its replica and asks the others to fence the former one ([`Acceptor::fence`]). It votes again once n - f
+/// known of its replica and asks the others to fence the former one ([`Acceptor::fence_request`]). It votes again once n - f
 /// replicas with intact disks have done so and it holds the highest promise and the highest accepted value among
 /// them ([`Acceptor::on_fence_response`]). Any majority shares a replica with those n - f. So a round that relies on
 /// a promise of the former epoch is rejected by one of its own majority, and a value that the former epoch helped to
@@ -126,7 +126,7 @@
     fn read(table: &BTreeMap<String, Vec<u8>>) -> StoredState {
         let mut unreadable = Vec::new();
         let identity = read_identity(table, IDENTITY_KEY, &mut unreadable);
-        let former = read_identity(table, FORMER_KEY, &mut unreadable);
+        let former = read_identity(table, FORMER_IDENTITY_KEY, &mut unreadable);
         let registers = REGISTER_KEYS.0.map(|key| {
             let stored = table.get(key);
             stored
@@ -269,7 +269,7 @@
             .map(|(id, register)| record(REGISTER_KEYS[id], register))
             .collect();
         records.push((IDENTITY_KEY.to_owned(), identity));
-        records.push((FORMER_KEY.to_owned(), former));
+        records.push((FORMER_IDENTITY_KEY.to_owned(), former));
         records
     }
 
@@ -290,7 +290,7 @@
 
     /// The request that a learner sends to all other nodes: to recover its own replica after a lost disk, or to take
     /// over one whose node is gone for good. `None` if this node holds a replica.
-    pub fn fence(&mut self, replica: &str) -> Option<Request> {
+    pub fn fence_request(&mut self, replica: &str) -> Option<Request> {
         if self.identity.is_some() {
             return None;
         }
--- a/crates/beechcroft-consensus/src/lib.rs
+++ b/crates/beechcroft-consensus/src/lib.rs
@@ -40,8 +40,8 @@
 mod round;
 
 pub use acceptor::{
-    Acceptor, Record, Records, ReplicaIdentity, UnreadableRecord, FORMER_KEY, IDENTITY_KEY,
-    REGISTER_KEYS,
+    Acceptor, Record, Records, ReplicaIdentity, UnreadableRecord, FORMER_IDENTITY_KEY,
+    IDENTITY_KEY, REGISTER_KEYS,
 };
 pub use config_store::ConfigStore;
 pub use epoch::{Epoch, Epochs, Holder, ReplicaEpoch};
--- a/crates/beechcroft-control/src/disk.rs
+++ b/crates/beechcroft-control/src/disk.rs
@@ -1,6 +1,6 @@
 //! The thread that owns the disk: it writes what waits together, with one sync, and says when it is stored.
 
-use beechcroft_consensus::{Records, FORMER_KEY, IDENTITY_KEY, REGISTER_KEYS};
+use beechcroft_consensus::{Records, FORMER_IDENTITY_KEY, IDENTITY_KEY, REGISTER_KEYS};
 use beechcroft_safeguards::Safeguard;
 use beechcroft_storage::{RecordStore, Table};
 use std::future::Future;
@@ -24,7 +24,7 @@
     let is_lost = REPLICA_RECORDS.iter().any(|name| is_corrupt(name))
         && Safeguard::CorruptionIsDiskLoss.is_enabled();
     if is_lost {
-        for name in REPLICA_RECORDS.iter().chain([&FORMER_KEY]) {
+        for name in REPLICA_RECORDS.iter().chain([&FORMER_IDENTITY_KEY]) {
             table.remove(*name);
         }
         table.insert(IDENTITY_KEY.into(), Vec::new());
--- a/crates/beechcroft-control/src/state_owner/membership.rs
+++ b/crates/beechcroft-control/src/state_owner/membership.rs
@@ -322,7 +322,7 @@
         let Some(replica) = self.replica_to_take_over(now) else {
             return;
         };
-        let Some(request) = self.acceptor.fence(&replica) else {
+        let Some(request) = self.acceptor.fence_request(&replica) else {
             return;
         };
         let Request::Fence { epoch, .. } = request else {
