--- a/crates/beechcroft-consensus/src/acceptor.rs
+++ b/crates/beechcroft-consensus/src/acceptor.rs
@@ -1,4 +1,7 @@
-//! The acceptor: what a replica has promised and accepted, and how it recovers from a lost disk.
+//! The acceptor: the promises and accepted values of a replica, and its recovery after a lost disk.
+//!
+//! `beechcroft-control` drives it: it passes in the requests that the node receives, syncs the returned records, and
+//! only then sends the response.
 
 use crate::encoding::{self, DecodeError};
 use crate::recovery::{RecoveredState, Recovery};
@@ -11,31 +14,31 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The key of the record that holds a [`ReplicaIdentity`]. An empty record says that there was one.
+/// The key of the record that holds the [`ReplicaIdentity`]. An empty record means that the node was deposed.
 pub const IDENTITY_KEY: &str = "identity";
-/// The key of the record that holds the identity that this node had before it was deposed.
+/// The key of the record that holds the identity of this node before it was deposed.
 pub const FORMER_IDENTITY_KEY: &str = "former";
-/// The keys of the records that hold a [`Register`] each.
+/// The key of the record of each [`Register`].
 pub const REGISTER_KEYS: PerRegister<&str> = PerRegister(["register-0", "register-1"]);
-/// Two nodes that draw the same epoch draw the next ones at most so far apart.
+/// Upper bound of the random distance between the next epochs of two nodes that drew the same epoch.
 const EPOCH_JITTER: u64 = 1021;
 
-/// A record: its key and its bytes.
+/// The key and the bytes of a record on disk.
 pub type Record = (String, Vec<u8>);
 
-/// Records that must be synced before a response goes out.
+/// Records that must be synced before the response that they belong to is sent.
 pub type Records = Vec<Record>;
 
-/// Which replica a node holds. It is on disk before the node votes.
+/// Which replica a node holds. Synced to disk before the node votes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaIdentity {
-    /// The replica.
+    /// The replica that the node holds.
     pub replica: ReplicaId,
-    /// The epoch under which this node holds it.
+    /// The epoch in which the node holds it.
     pub epoch: Epoch,
-    /// All replicas of the quorum.
+    /// All replicas of the system.
     pub replicas: Vec<ReplicaId>,
-    /// What this node knows of the epochs of all replicas.
+    /// The latest epochs that the node knows of.
     pub epochs: Epochs,
 }
 
@@ -47,7 +50,7 @@
         }
     }
 
-    /// Whether another node holds the replica by now.
+    /// Whether another node has taken over the replica.
     fn is_deposed(&self) -> bool {
         Safeguard::DeposedIsSilent.is_enabled() && self.epochs.is_fenced(&self.replica, self.epoch)
     }
@@ -56,9 +59,9 @@
 /// A record on disk that this version of the program cannot read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UnreadableRecord {
-    /// Its key.
+    /// The record's key.
     pub key: String,
-    /// Why it cannot be read.
+    /// Why it could not be decoded.
     pub error: DecodeError,
 }
 
@@ -68,53 +71,56 @@
     }
 }
 
-/// What a node held as it was deposed, until it holds a replica again: for the node that takes the replica over.
+/// The state of a node when it was deposed. It is kept until the node holds a replica again, so that the node that
+/// takes over the replica can still fetch it.
 #[derive(Clone, Debug)]
 struct FormerReplica {
     identity: ReplicaIdentity,
     registers: PerRegister<Register>,
 }
 
-/// How the known epoch of a replica changed last.
+/// The last change of a replica's known epoch.
 #[derive(Clone, Copy, Debug)]
 struct EpochChange {
     current: Epoch,
     previous: Epoch,
 }
 
-/// A node's part as an acceptor.
+/// The acceptor role of a node: holds at most one replica and votes for it.
 ///
-/// # A lost disk
+/// # Recovery from a lost disk
 ///
-/// A node with an empty disk, where the system has run before, is a learner. It draws an epoch above all that are
-/// known of its replica and asks the others to fence the former one ([`Acceptor::fence_request`]). It votes again once n - f
-/// replicas with intact disks have done so and it holds the highest promise and the highest accepted value among
-/// them ([`Acceptor::on_fence_response`]). Any majority shares a replica with those n - f. So a round that relies on
-/// a promise of the former epoch is rejected by one of its own majority, and a value that the former epoch helped to
-/// choose is among the states collected.
+/// A node whose disk is empty although the system has run before is a learner: it does not vote. It draws an epoch
+/// above all known epochs of its replica and asks the other nodes to fence the former epoch
+/// ([`Acceptor::fence_request`]). It votes again once n - f replicas with intact disks have done so, and it has
+/// adopted the highest promise and the highest accepted value among them ([`Acceptor::on_fence_response`]). Any
+/// majority shares a replica with those n - f. Therefore a round that relies on a promise of the former epoch is
+/// rejected by a member of its own majority, and a value that the former epoch helped to choose is among the
+/// collected states.
 ///
 /// # Takeover
 ///
-/// A holder that is asked to let its own replica be taken over stops voting and hands over what it holds. Its state
-/// is one of the n - f if none of the others knows of an epoch in between: the new holder then continues where the
-/// former one ended, and f others suffice to show that nobody else did.
+/// A holder that receives a fence request for its own replica stops voting and hands over its state. That state
+/// counts as one of the n - f if none of the other responders knows of an epoch in between. The new holder then
+/// continues from the state of the former one, and f other responses suffice to show that no other node did.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
     node: NodeId,
-    /// How many replicas may be lost at once (f).
+    /// How many replicas may be lost at the same time (f).
     tolerated_losses: usize,
     identity: Option<ReplicaIdentity>,
     unreadable: Vec<UnreadableRecord>,
-    /// Invariant: empty while there is no identity, but for what a recovery has collected.
+    /// Invariant: empty while there is no identity, except for the state that a recovery has merged so far.
     registers: PerRegister<Register>,
     former: Option<FormerReplica>,
-    /// The last change of each replica's epoch that this process saw.
+    /// The last change of each replica's epoch that this process observed.
     epoch_changes: BTreeMap<ReplicaId, EpochChange>,
+    /// Random per process: see [`Acceptor::new`].
     salt: u64,
     recovery: Option<Recovery>,
 }
 
-/// What a disk holds.
+/// The decoded records of a node's disk.
 struct StoredState {
     identity: Option<ReplicaIdentity>,
     former: Option<ReplicaIdentity>,
@@ -142,7 +148,7 @@
     }
 }
 
-/// An identity, unless there is none or the node was deposed.
+/// Reads an identity. `None` if the record is missing, unreadable, or empty (the node was deposed).
 fn read_identity(
     table: &BTreeMap<String, Vec<u8>>,
     key: &str,
@@ -174,10 +180,10 @@
 }
 
 impl Acceptor {
-    /// An acceptor with what its disk holds.
+    /// Creates an acceptor from the records of its disk (`table`).
     ///
-    /// `tolerated_losses` is how many replicas may be lost at once. `salt` is drawn by each process, so that two
-    /// epochs of a disk that was lost twice do not get the same number.
+    /// `tolerated_losses` is the number of replicas that may be lost at the same time (f). `salt` must be random per
+    /// process, so that a disk that is lost twice does not get the same epoch again.
     pub fn new(
         node: &str,
         tolerated_losses: usize,
@@ -190,15 +196,15 @@
             registers,
             unreadable,
         } = StoredState::read(table);
-        // One unreadable record is a lost disk: what the others hold was perhaps never promised together with it.
+        // A single unreadable record counts as a lost disk: the remaining ones may not be consistent with it.
         let identity = identity.filter(|_| unreadable.is_empty());
         let former = former.filter(|_| unreadable.is_empty());
         let former = former.map(|identity| FormerReplica {
             identity,
             registers: registers.clone(),
         });
-        // A node without a replica brings nothing into the next one: what it accepted after it had lost its own was
-        // read from no majority, and may have a higher ballot than what was chosen.
+        // A node without a replica starts with empty registers: what it accepted after another node had taken over
+        // its replica was not chosen by a majority, and may have a higher ballot than the chosen value.
         let registers = if identity.is_some() {
             registers
         } else {
@@ -222,24 +228,24 @@
         self.identity.as_ref()
     }
 
-    /// The replica that this node held before it was deposed, as it knows it.
+    /// The identity of this node before it was deposed, with the epochs that it knows of.
     pub fn former_identity(&self) -> Option<&ReplicaIdentity> {
         self.former.as_ref().map(|former| &former.identity)
     }
 
-    /// The records on disk that this version of the program could not read.
+    /// Records on disk that could not be decoded. If there are any, the disk counts as lost.
     pub fn unreadable_records(&self) -> &[UnreadableRecord] {
         &self.unreadable
     }
 
-    /// All replicas of the quorum; none while this node holds no replica.
+    /// All replicas of the system; empty while this node holds no replica.
     pub fn replicas(&self) -> &[ReplicaId] {
         self.identity
             .as_ref()
             .map_or(&[], |identity| &identity.replicas)
     }
 
-    /// The highest ballot number promised.
+    /// The highest ballot number promised in any register.
     pub fn highest_ballot_number(&self) -> u64 {
         self.registers
             .iter()
@@ -248,12 +254,12 @@
             .unwrap_or(0)
     }
 
-    /// What was promised and accepted in a register.
+    /// The promise and the accepted value of a register.
     pub fn register(&self, register: RegisterId) -> &Register {
         &self.registers[register]
     }
 
-    /// All records of this acceptor as they are now.
+    /// The current contents of all records of this acceptor.
     pub fn records(&self) -> Records {
         let (identity, former, registers) = match (&self.identity, &self.former) {
             (Some(identity), _) => (encoding::encode(identity), Vec::new(), &self.registers),
@@ -273,7 +279,8 @@
         records
     }
 
-    /// At the first start of the whole system: this node holds the replica that is named after it.
+    /// Initializes the acceptor at the first start of the whole system: the node holds the replica named after it.
+    /// Returns the records to sync.
     pub fn bootstrap(&mut self, replicas: Vec<ReplicaId>) -> Records {
         let epochs = Epochs::initial(&replicas);
         let replica = self.node.clone();
@@ -288,8 +295,8 @@
         records
     }
 
-    /// The request that a learner sends to all other nodes: to recover its own replica after a lost disk, or to take
-    /// over one whose node is gone for good. `None` if this node holds a replica.
+    /// The request that a learner sends to all other nodes, to recover its own replica after a lost disk or to take
+    /// over the replica of a node that is permanently lost. `None` if this node holds a replica.
     pub fn fence_request(&mut self, replica: &str) -> Option<Request> {
         if self.identity.is_some() {
             return None;
@@ -310,8 +317,8 @@
         })
     }
 
-    /// Takes an answer to a fence with `requested_epoch`. Once there are enough, this node holds the replica, and
-    /// the records are returned that must be synced before it votes.
+    /// Handles the response to a fence request for `requested_epoch`. Once enough replicas have responded, this node
+    /// holds the replica; returns the records that must be synced before it votes.
     pub fn on_fence_response(
         &mut self,
         requested_epoch: Epoch,
@@ -331,8 +338,8 @@
         let known = epochs.get(&recovery.replica)?;
         let is_anothers = known.node != self.node && Safeguard::SingleSuccessor.is_enabled();
         if known.epoch > recovery.epoch || known.epoch == recovery.epoch && is_anothers {
-            // Others know a later epoch, or this one as another node's: start again above it, each node at a
-            // distance of its own.
+            // Others know of a later epoch, or another node has drawn the same one: start again above it, at a distance
+            // that depends on the salt, so that the two nodes do not collide again.
             let epoch = Epoch(known.epoch.0 + 1 + self.salt % EPOCH_JITTER);
             *recovery = Recovery::new(&recovery.replica, epoch);
             return None;
@@ -369,8 +376,8 @@
         Some(self.records())
     }
 
-    /// Takes over what another node knows of epochs. A node whose replica has a later epoch elsewhere stops voting.
-    /// Returns the records to sync, if anything was new.
+    /// Merges the epochs known to another node. If this node's replica has a later epoch, the node is deposed and
+    /// stops voting. Returns the records to sync if any epoch was new.
     pub fn merge_epochs(&mut self, epochs: &Epochs) -> Option<Records> {
         let (identity, is_deposed) = match (&mut self.identity, &mut self.former) {
             (Some(identity), _) => (identity, false),
@@ -391,7 +398,7 @@
         (!is_deposed).then(|| self.identity_records())
     }
 
-    /// The records that say which replica this node holds. If another node holds it by now, this one stops voting.
+    /// The records of the node's identity. Deposes the node first if another node has taken over its replica.
     fn identity_records(&mut self) -> Records {
         if let Some(identity) = self.identity.take_if(|identity| identity.is_deposed()) {
             let registers = std::mem::take(&mut self.registers);
@@ -406,7 +413,7 @@
         }
     }
 
-    /// Handles a request: the response, and the records that must be synced before it is sent.
+    /// Handles a request. Returns the response and the records that must be synced before it is sent.
     pub fn step(&mut self, request: Request) -> (Response, Records) {
         match request {
             Request::Prepare {
@@ -471,7 +478,7 @@
         (response, vec![record(REGISTER_KEYS[register], held)])
     }
 
-    /// Accepts a value under a ballot, unless a higher one was promised or the round relies on a fenced epoch.
+    /// Accepts a value under a ballot, unless a higher ballot was promised or the round relies on a fenced epoch.
     fn on_accept(
         &mut self,
         register: RegisterId,
@@ -507,8 +514,8 @@
         (response, vec![record(REGISTER_KEYS[register], held)])
     }
 
-    /// A replica is to be taken over: hands over what this node has, as the holder of another one or of that very
-    /// one.
+    /// Fences the earlier epochs of a replica and responds with this node's state, as the holder of another replica or
+    /// as the (former) holder of the fenced one.
     fn on_fence(
         &mut self,
         replica: ReplicaId,
@@ -567,7 +574,7 @@
     }
 }
 
-/// Raises each register to the highest promise and the highest accepted value of both.
+/// Raises the promise and the accepted value of each register to the higher of the two.
 fn merge_registers(held: &mut PerRegister<Register>, theirs: &PerRegister<Register>) {
     for (held, (_, theirs)) in held.values_mut().zip(theirs.iter()) {
         held.promised = held.promised.max(theirs.promised);
--- a/crates/beechcroft-consensus/src/config_store.rs
+++ b/crates/beechcroft-consensus/src/config_store.rs
@@ -1,4 +1,4 @@
-//! The contents of the configuration register.
+//! The contents of the configuration register: the configuration in force and the history of committed versions.
 
 use crate::operation::{digest, Digest, Operation};
 use crate::{encoding, Value};
@@ -11,24 +11,28 @@
 use std::collections::VecDeque;
 use std::io::Read;
 
-/// How many former versions are remembered, so that a repeat of them is still acknowledged.
+/// Number of committed versions kept in the history. A retry of any of them is still acknowledged.
 const HISTORY_LENGTH: usize = 512;
 
-/// The configuration in force, and the versions committed before it.
+/// The configuration in force, and the committed versions up to it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigStore {
     /// The version in force; 0 before the first.
     pub version: u32,
-    /// The body as the operator sent it, deflated: it passes through ballots, disks and thin links.
+    /// The body as the operator sent it. Deflated, because every round, disk and slow link carries it.
     body: Vec<u8>,
-    /// Committed versions with the digests of their bodies, oldest first. Invariant: the last one is `version`.
+    /// Committed versions with the digests of their bodies, oldest first. Invariant: the last entry is `version`.
     history: VecDeque<(u32, Digest)>,
-    /// The newest committed version that the history no longer holds.
-    forgotten: u32,
+    /// The newest committed version that was evicted from the history; 0 if none was.
+    evicted: u32,
 }
 
 impl ConfigStore {
-    /// Decodes a register's value. One that was never written is the empty store.
+    /// Decodes a register's value. A register that was never written decodes to the empty store.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::CorruptState`] if the value cannot be decoded.
     pub fn decode(value: &Value) -> Result<ConfigStore, Error> {
         decode_value(value, "the configuration")
     }
@@ -38,7 +42,7 @@
         encoding::encode(self)
     }
 
-    /// Whether this very configuration was committed, as far as the history goes back.
+    /// Whether the history contains the operation's version with the same body.
     pub fn has_committed(&self, operation: &Operation) -> bool {
         let Operation::ReplaceConfig {
             version, digest, ..
@@ -49,12 +53,12 @@
         self.history.contains(&(*version, *digest))
     }
 
-    /// Applies an operation: whether it changed the store, or why it is rejected.
+    /// Applies an operation. Returns whether it changed the store; a retry of a committed operation does not.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::VersionForgotten`] for a version from before the history, [`ErrorKind::VersionConflict`] if
-    /// another version than `base` is in place, [`ErrorKind::Invalid`] if the version is not above that one.
+    /// [`ErrorKind::VersionForgotten`] for a version older than the history, [`ErrorKind::VersionConflict`] if the
+    /// version in force is not `base`, [`ErrorKind::Invalid`] if the new version is not above the one in force.
     pub fn apply(&mut self, operation: &Operation) -> Result<bool, Error> {
         let Operation::ReplaceConfig {
             version,
@@ -71,7 +75,7 @@
         self.check_version(*version, *base)?;
         if self.history.len() >= HISTORY_LENGTH {
             let oldest = self.history.pop_front();
-            self.forgotten = oldest.map_or(self.forgotten, |(version, _)| version);
+            self.evicted = oldest.map_or(self.evicted, |(version, _)| version);
         }
         self.history.push_back((*version, *digest));
         self.version = *version;
@@ -86,19 +90,22 @@
     }
 
     fn check_version(&self, version: u32, base: u32) -> Result<(), Error> {
-        if version <= self.forgotten && Safeguard::ForgottenVersions.is_enabled() {
+        if version <= self.evicted && Safeguard::ForgottenVersions.is_enabled() {
             let detail = format!("version {version:08x} is from before what is still remembered");
             return Err(Error::new(ErrorKind::VersionForgotten, detail));
         }
         if base != self.version {
             let detail = format!(
-                "version {:08x} is in place, the base is {base:08x}",
+                "version {:08x} is in force, not the base version {base:08x}",
                 self.version
             );
             return Err(Error::new(ErrorKind::VersionConflict, detail));
         }
         if version <= self.version {
-            let detail = format!("version {version:08x} is not above {:08x}", self.version);
+            let detail = format!(
+                "version {version:08x} is not above {:08x}, which is in force",
+                self.version
+            );
             return Err(Error::new(ErrorKind::Invalid, detail));
         }
         Ok(())
@@ -108,7 +115,7 @@
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::CorruptState`] if it does not inflate to what was sent.
+    /// [`ErrorKind::CorruptState`] if the stored body does not inflate or does not match its digest.
     pub fn body(&self) -> Result<Vec<u8>, Error> {
         let mut body = Vec::new();
         let Some((version, sent)) = self.history.back() else {
@@ -118,20 +125,23 @@
             .read_to_end(&mut body)
             .is_ok();
         if !is_complete || (*version, *sent) != (self.version, digest(&body)) {
-            let detail = format!("version {:08x} is not what was sent", self.version);
+            let detail = format!(
+                "stored body of version {:08x} does not match its digest",
+                self.version
+            );
             return Err(Error::new(ErrorKind::CorruptState, detail));
         }
         Ok(body)
     }
 
-    /// The parsed configuration; `None` before the first.
+    /// The parsed configuration; `None` before the first one, and if the stored body is corrupt or does not parse.
     pub fn config(&self) -> Option<Config> {
         Config::read(&self.body().ok()?).ok()
     }
 }
 
-/// Decodes a register's value. One that was never written is the default; one that cannot be decoded is an error and
-/// never taken for the default, as the next change would replace what is there.
+/// Decodes a register's value. A register that was never written decodes to the default. A value that cannot be decoded
+/// is an error and never treated as the default, because the next change would then overwrite it.
 pub(crate) fn decode_value<T: Default + DeserializeOwned>(
     value: &Value,
     what: &str,
--- a/crates/beechcroft-consensus/src/encoding.rs
+++ b/crates/beechcroft-consensus/src/encoding.rs
@@ -1,47 +1,51 @@
-//! Encoding of values in registers and of records on disk: one byte of format version, then postcard.
+//! Encoding of register values and of records on disk: one byte of format version, followed by postcard.
 
 use beechcroft_safeguards::Safeguard;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt;
 
-/// The format version. It rises with each change of a type that is kept in registers or on disk.
+/// The current format version. Incremented with each change of a type that is stored in registers or on disk.
 pub const VERSION: u8 = 2;
 
-/// Why bytes cannot be decoded. Such bytes are never taken for an empty value.
+/// Why bytes cannot be decoded. Undecodable bytes are never treated as an empty value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DecodeError {
-    /// There are no bytes.
+    /// The input has no bytes.
     Empty,
-    /// Another version of the program wrote them.
+    /// The input has a format version other than [`VERSION`].
     Version(u8),
-    /// They are not the encoding of the type: postcard's error, or what is left over.
+    /// The input does not encode the type. Contains postcard's error, or the number of trailing bytes.
     Malformed(String),
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            DecodeError::Empty => write!(f, "it is empty"),
+            DecodeError::Empty => write!(f, "no data"),
             DecodeError::Version(found) => {
                 write!(
                     f,
-                    "it has format {found}, and this version of the program reads {VERSION}"
+                    "unsupported format {found}; this version of the program reads format {VERSION}"
                 )
             }
-            DecodeError::Malformed(detail) => write!(f, "it is malformed: {detail}"),
+            DecodeError::Malformed(detail) => write!(f, "malformed: {detail}"),
         }
     }
 }
 
 impl std::error::Error for DecodeError {}
 
-/// Encodes a value.
+/// Encodes a value, prefixed with the current [`VERSION`].
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_extend(value, vec![VERSION]).expect("plain data has an encoding")
 }
 
-/// Decodes a value. Every byte must belong to it.
+/// Decodes a value. The encoding must span the whole input.
+///
+/// # Errors
+///
+/// [`DecodeError`] if the input is empty, of another format version, or not exactly one value of the type.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     let (&version, rest) = bytes.split_first().ok_or(DecodeError::Empty)?;
     if version != VERSION && Safeguard::ValueFormat.is_enabled() {
--- a/crates/beechcroft-consensus/src/epoch.rs
+++ b/crates/beechcroft-consensus/src/epoch.rs
@@ -1,11 +1,11 @@
-//! Epochs: incarnations of a replica's disk, and who holds each replica.
+//! Epochs: the incarnation of each replica's disk, and the node that holds the replica.
 
 use crate::{NodeId, ReplicaId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The incarnation of a replica's disk. It rises when the disk is lost and when another node takes the replica over.
+/// The incarnation of a replica's disk. It increases when the disk is lost and when another node takes over the replica.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -25,32 +25,32 @@
 /// A replica in one of its epochs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaEpoch {
-    /// The replica.
+    /// The replica's name.
     pub replica: ReplicaId,
-    /// The epoch of its disk.
+    /// The incarnation of its disk.
     pub epoch: Epoch,
 }
 
 /// The latest known epoch of a replica, and the node that holds the replica in it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Holder {
-    /// The latest epoch known. All earlier ones are fenced.
+    /// The latest known epoch. All earlier epochs are fenced.
     pub epoch: Epoch,
-    /// The machine that votes for the replica in that epoch.
+    /// The node that votes for the replica in that epoch.
     pub node: NodeId,
 }
 
-/// What a node knows of the epochs of all replicas. Merging is commutative, associative and idempotent.
+/// The latest known epoch and holder of each replica. Merging is commutative, associative and idempotent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epochs(BTreeMap<ReplicaId, Holder>);
 
 impl Epochs {
-    /// No replica is known.
+    /// Creates an empty map, without any replica.
     pub fn new() -> Epochs {
         Epochs::default()
     }
 
-    /// The epochs at the first start: each replica is held by the node that it is named after.
+    /// The epochs at the first start of the system: each replica is held by the node that it is named after.
     pub fn initial(replicas: &[ReplicaId]) -> Epochs {
         let holder = |replica: &ReplicaId| Holder {
             epoch: Epoch::FIRST,
@@ -62,29 +62,29 @@
             .collect()
     }
 
-    /// The latest epoch and holder known of a replica.
+    /// The latest known epoch and holder of a replica.
     pub fn get(&self, replica: &str) -> Option<&Holder> {
         self.0.get(replica)
     }
 
-    /// The latest epoch known of a replica; the default epoch, below all others, if none is.
+    /// The latest known epoch of a replica. For an unknown replica, the default epoch, which is below all others.
     pub fn latest(&self, replica: &str) -> Epoch {
         self.get(replica)
             .map_or(Epoch::default(), |known| known.epoch)
     }
 
-    /// The node that holds a replica. Where nothing is known it is the node that the replica is named after.
+    /// The node that holds a replica. For an unknown replica, the node that it is named after.
     pub fn holder(&self, replica: &str) -> NodeId {
         self.get(replica)
             .map_or_else(|| replica.to_owned(), |known| known.node.clone())
     }
 
-    /// Whether a later epoch of the replica is known: what the earlier one promised or accepted may be lost.
+    /// Whether a later epoch of the replica is known. Promises and acceptances of a fenced epoch may be lost.
     pub fn is_fenced(&self, replica: &str, epoch: Epoch) -> bool {
         self.latest(replica) > epoch
     }
 
-    /// Takes over what another node knows; whether any of it was new.
+    /// Merges the epochs known to another node. Returns whether any of them was new.
     pub fn merge(&mut self, other: &Epochs) -> bool {
         let mut is_changed = false;
         for (replica, theirs) in &other.0 {
@@ -97,12 +97,12 @@
         is_changed
     }
 
-    /// Each replica with its latest epoch and holder.
+    /// Iterates over the replicas with their latest epochs and holders.
     pub fn iter(&self) -> impl Iterator<Item = (&ReplicaId, &Holder)> {
         self.0.iter()
     }
 
-    /// Forgets everything.
+    /// Removes all replicas.
     pub fn clear(&mut self) {
         self.0.clear();
     }
--- a/crates/beechcroft-consensus/src/message.rs
+++ b/crates/beechcroft-consensus/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between a proposer or a recovering node and the acceptors.
 //!
-//! They travel between control nodes in postcard form (`POST /ask`): the order of variants and fields is their
-//! encoding. `beechcroft-control/tests/compatibility` pins it.
+//! Control nodes exchange them as postcard (`POST /ask`), so the order of variants and fields is part of the wire
+//! format. `beechcroft-control/tests/compatibility` pins it.
 
 use crate::register::{Ballot, PerRegister, Register, RegisterId, Value};
 use crate::{Epoch, Epochs, NodeId, ReplicaEpoch, ReplicaId};
@@ -10,57 +10,57 @@
 /// A request to an acceptor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// Phase 1: promise to accept nothing under a lower ballot, and report the latest accepted value.
+    /// Phase 1: promise not to accept anything under a lower ballot, and report the latest accepted value.
     Prepare {
-        /// The register.
+        /// The register that the round changes.
         register: RegisterId,
         /// The round's ballot.
         ballot: Ballot,
-        /// The ballot of the value that the proposer holds itself: that value need not be sent again.
+        /// The ballot of the value that the proposer's own acceptor holds; the acceptor need not send that value.
         known: Ballot,
     },
     /// Phase 2: accept a value.
     Accept {
-        /// The register.
+        /// The register that the round changes.
         register: RegisterId,
         /// The round's ballot.
         ballot: Ballot,
         /// The value to accept.
         value: Value,
-        /// The promises that the round is based on.
+        /// The promises that the round relies on.
         quorum: Vec<ReplicaEpoch>,
     },
-    /// Phase 2 for an acceptor that holds the value already: accept it under this ballot, too.
+    /// Phase 2 for an acceptor that already holds the value: accept it under this ballot as well.
     Confirm {
-        /// The register.
+        /// The register that the round changes.
         register: RegisterId,
         /// The round's ballot.
         ballot: Ballot,
         /// The ballot under which the value was accepted before.
         accepted: Ballot,
-        /// The promises that the round is based on.
+        /// The promises that the round relies on.
         quorum: Vec<ReplicaEpoch>,
     },
-    /// A replica's disk was lost, or its node is gone for good: reject rounds that rely on an earlier epoch of it.
+    /// Reject rounds that rely on an earlier epoch of a replica, because its disk or its node was lost.
     Fence {
-        /// The replica.
+        /// The replica whose earlier epochs are fenced.
         replica: ReplicaId,
-        /// Its new epoch.
+        /// The new epoch of the replica.
         epoch: Epoch,
-        /// The node that takes the replica over in this epoch.
+        /// The node that takes over the replica in this epoch.
         holder: NodeId,
     },
-    /// What the sender knows of epochs.
+    /// Announces the epochs that the sender knows of, and asks for those of the receiver.
     AnnounceEpochs {
-        /// The replica that the sender holds.
+        /// The replica that the sender holds; `None` for a learner.
         sender: Option<ReplicaEpoch>,
-        /// Everything that it knows.
+        /// The epochs that the sender knows of.
         epochs: Epochs,
     },
 }
 
 impl Request {
-    /// The register and ballot of a request that belongs to a round.
+    /// The register and ballot of a request that belongs to a round; `None` for other requests.
     pub fn round(&self) -> Option<(RegisterId, Ballot)> {
         match self {
             Request::Prepare {
@@ -77,63 +77,64 @@
     }
 }
 
-/// The latest accepted value of an acceptor, in a promise.
+/// The latest accepted value of an acceptor, as part of a promise.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PromisedValue {
-    /// The ballot under which it was accepted.
+    /// The ballot under which the value was accepted.
     pub ballot: Ballot,
-    /// The value; `None` where the proposer said that it holds the value of this ballot.
+    /// The value; `None` if the proposer already holds the value of this ballot ([`Request::Prepare`], `known`).
     pub value: Option<Value>,
 }
 
 /// An acceptor's response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Response {
-    /// Nothing will be accepted under a lower ballot.
+    /// The acceptor will not accept anything under a lower ballot.
     Promise {
-        /// The replica that the responder holds. It need not be the one that was addressed.
+        /// The replica that the responder holds, which is not necessarily the one that was addressed.
         replica: ReplicaId,
-        /// The epoch of its disk.
+        /// The epoch of the responder's replica.
         epoch: Epoch,
-        /// What it accepted last.
+        /// The latest accepted value.
         accepted: Option<PromisedValue>,
     },
-    /// The value is accepted.
+    /// The acceptor has accepted the value.
     Accepted {
         /// The replica that the responder holds.
         replica: ReplicaId,
-        /// The epoch of its disk.
+        /// The epoch of the responder's replica.
         epoch: Epoch,
-        /// What the responder knows of epochs: acceptances of fenced epochs do not count beside this one.
+        /// The epochs that the responder knows of. Acceptances of epochs fenced by these do not count.
         epochs: Epochs,
     },
-    /// A higher ballot was promised, or the round relies on a fenced epoch.
+    /// The acceptor has promised a higher ballot, or the round relies on a fenced epoch.
     Rejected {
         /// The highest ballot promised.
         promised: Ballot,
-        /// What the responder knows of epochs.
+        /// The epochs that the responder knows of.
         epochs: Epochs,
     },
-    /// The answer to a fence: everything that the replica holds.
+    /// The response to [`Request::Fence`]: the complete state of the responder's replica.
     ReplicaState {
-        /// The replica that the responder holds, and in which epoch.
+        /// The replica that the responder holds, and its epoch.
         sender: ReplicaEpoch,
-        /// The highest epoch of the fenced replica that the responder knew before this fence, if it still knows.
+        /// The latest epoch of the fenced replica that the responder knew of before this fence; `None` if that is no
+        /// longer known, as after a restart.
         previous: Option<Epoch>,
-        /// All replicas of the quorum.
+        /// All replicas of the system.
         replicas: Vec<ReplicaId>,
-        /// What the responder knows of epochs.
+        /// The epochs that the responder knows of.
         epochs: Epochs,
-        /// Its registers.
+        /// The registers of the responder.
         registers: PerRegister<Register>,
     },
-    /// The responder holds no replica, or does not vote yet.
+    /// The responder holds no replica, so it does not vote.
     Learner,
-    /// The answer to an announcement.
+    /// The response to [`Request::AnnounceEpochs`].
     KnownEpochs {
-        /// All replicas of the quorum.
+        /// All replicas of the system.
         replicas: Vec<ReplicaId>,
-        /// What the responder knows of epochs.
+        /// The epochs that the responder knows of.
         epochs: Epochs,
     },
 }
--- a/crates/beechcroft-consensus/src/operations_state.rs
+++ b/crates/beechcroft-consensus/src/operations_state.rs
@@ -1,4 +1,4 @@
-//! The contents of the operations register: rollouts, evacuations, base versions, placements.
+//! The contents of the operations register: rollouts, evacuations, base versions and placements.
 
 use crate::config_store::decode_value;
 use crate::{encoding, Operation, Value};
@@ -8,13 +8,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far a rollout has come. The order of variants is their encoding.
+/// The progress of a rollout. The order of the variants is part of the encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stage {
-    /// Under way. Stage 0 is the canary: a small share of requests. Later stages raise the share; in the last one
-    /// the new version gets all requests and what still runs on the base version ends.
+    /// In progress. Stage 0 is the canary, which gets a small share of the requests. Each later stage raises the share;
+    /// in the last one the new version gets all new requests, and requests in flight on the base version finish.
     Active(u8),
-    /// The new version is the base version.
+    /// Finished: the new version has become the base version.
     Complete,
     /// Rolled back to the base version.
     Reverted,
@@ -23,59 +23,64 @@
 /// A rollout of a new version of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// The version that is rolled out.
+    /// The version that is being rolled out.
     pub target: String,
-    /// Tells this rollout from other ones of the service.
+    /// Random id that distinguishes the rollouts of a service.
     pub id: u64,
-    /// When it was requested, by the clock of the control node that took the request: milliseconds since 1970.
+    /// Wall-clock time of the request on the control node that received it, in milliseconds since the Unix epoch.
     pub requested_at_ms: u64,
-    /// How long it may take, in milliseconds.
+    /// The maximum duration of the rollout, in milliseconds.
     pub ramp_ms: u64,
-    /// How far it has come.
+    /// The current stage.
     pub stage: Stage,
 }
 
-/// Units of a service that no proxy may send non-idempotent requests to.
+/// The units of a service to which no proxy may send non-idempotent requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Placement {
-    /// Rises by one with each change.
+    /// Incremented with each change.
     pub version: u64,
-    /// The units that are left out.
+    /// The excluded units.
     pub excluded: BTreeSet<String>,
 }
 
-/// The contents of the operations register.
+/// Rollouts, evacuations, base versions and placements.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OperationsState {
     /// The latest rollout of each service.
     pub rollouts: BTreeMap<String, Rollout>,
-    /// Zones that are evacuated.
+    /// Zones under evacuation.
     pub evacuated_zones: BTreeSet<String>,
-    /// Rises when an evacuation begins or ends, so that a proxy notices that a zone was taken back meanwhile.
+    /// Incremented when an evacuation begins or ends, so that a proxy notices one that began and ended between two
+    /// of its updates.
     pub evacuation_changes: u64,
-    /// The version that each service runs where no rollout says otherwise.
+    /// The version that each service runs outside of a rollout.
     pub base_versions: BTreeMap<String, String>,
-    /// Where non-idempotent requests may not go, by service.
+    /// The units excluded from non-idempotent requests, by service.
     pub placements: BTreeMap<String, Placement>,
-    /// Versions that were rolled back, by service.
+    /// Versions that were rolled back and not rolled out again since, by service.
     pub reverted_versions: BTreeMap<String, BTreeSet<String>>,
 }
 
-/// Whether requests may be sent to units of a version.
+/// Whether units of a version may receive requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is the base version.
+    /// The version is the base version.
     Base,
-    /// It is being rolled out and in this stage.
+    /// The version is being rolled out; contains the stage.
     Canary(u8),
-    /// It gets no requests.
+    /// The version gets no requests.
     Rejected,
-    /// No base version of the service is known.
+    /// The service has no recorded base version.
     Unknown,
 }
 
 impl OperationsState {
-    /// Decodes a register's value. One that was never written is the empty state.
+    /// Decodes a register's value. A register that was never written decodes to the empty state.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::CorruptState`] if the value cannot be decoded.
     pub fn decode(value: &Value) -> Result<OperationsState, Error> {
         decode_value(value, "operations")
     }
@@ -85,11 +90,11 @@
         encoding::encode(self)
     }
 
-    /// Applies an operation: whether it changed the state, or why it is rejected. `rng` draws the ids of rollouts.
+    /// Applies an operation. Returns whether it changed the state. `rng` draws the ids of rollouts.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::InProgress`] for a rollout while another one of the service is active.
+    /// [`ErrorKind::InProgress`] for a rollout while a different one of the same service is active.
     pub fn apply(&mut self, operation: &Operation, rng: &mut impl RngExt) -> Result<bool, Error> {
         match operation {
             Operation::Read | Operation::ReplaceConfig { .. } => Ok(false),
@@ -146,7 +151,7 @@
         if let Some(reverted) = self.reverted_versions.get_mut(service) {
             reverted.remove(request.target);
         }
-        // A rollout to the version that runs already has nothing to move.
+        // A rollout to the base version has no requests to move.
         let stage = if is_base {
             Stage::Complete
         } else {
@@ -167,7 +172,7 @@
         let Some(held) = self.rollouts.get_mut(service) else {
             return false;
         };
-        // A rollback applies to whatever stage it meets: the rollout may have advanced just before it.
+        // A rollback applies to any active stage, because the rollout may have advanced since it was requested.
         let is_rollback = to == Stage::Reverted
             && matches!(held.stage, Stage::Active(_))
             && Safeguard::RollbackFromAnyStage.is_enabled();
@@ -222,7 +227,7 @@
         true
     }
 
-    /// Whether units of a version may be sent requests.
+    /// Whether units of a version of a service may receive requests.
     pub fn admission(&self, service: &str, version: &str) -> Admission {
         let rollout = self
             .rollouts
@@ -243,7 +248,7 @@
     }
 }
 
-/// A request to begin a rollout.
+/// The parameters of [`Operation::BeginRollout`].
 struct RolloutRequest<'a> {
     target: &'a str,
     ramp_ms: u64,
@@ -252,7 +257,11 @@
 }
 
 impl RolloutRequest<'_> {
-    /// Whether the request was carried out before, by the rollout that is held. An error if that one is in the way.
+    /// Whether the existing rollout (`held`) was started by an earlier copy of this request.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::InProgress`] if the existing rollout is active and a different one.
     fn is_repeat_of(&self, service: &str, held: &Rollout, is_base: bool) -> Result<bool, Error> {
         let is_same_target = held.target == self.target;
         let is_recent = held.requested_at_ms.abs_diff(self.at_ms) <= self.repeat_ms;
@@ -263,7 +272,7 @@
                     target, ramp_ms, ..
                 } = held;
                 let detail =
-                    format!("a rollout of {service} to {target} over {ramp_ms} ms is active");
+                    format!("rollout of {service} to {target} over {ramp_ms} ms is active");
                 Err(Error::new(ErrorKind::InProgress, detail))
             }
             Stage::Complete => Ok(is_same_target && is_base),
--- a/crates/beechcroft-consensus/src/proposer.rs
+++ b/crates/beechcroft-consensus/src/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposer: how a pending operation becomes part of a chosen value.
+//! The proposer: runs the rounds that make pending operations part of a chosen value.
 
 use crate::round::{AppliedOperation, Round};
 use crate::{
@@ -11,35 +11,35 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::VecDeque;
 
-/// A round that has not ended after so long is given up and started again.
+/// A round that has not finished after this time is abandoned and retried.
 const ROUND_TIMEOUT_MS: Millis = 1200;
-/// The pause after a round that conflicted with another one is drawn from this to the limit below.
+/// Lower bound of the random backoff after a round that ended without result.
 const BACKOFF_MIN_MS: Millis = 5;
-/// The limit of the pause before the first conflict. It doubles with each conflict in a row.
+/// Base of the backoff's upper bound, which doubles with each consecutive round without result.
 const BACKOFF_BASE_MS: Millis = 30;
-/// How often the limit doubles at most.
+/// Maximum number of doublings of the backoff's upper bound.
 const BACKOFF_DOUBLINGS: u32 = 6;
 
-/// The number that the caller gives to an operation.
+/// Identifies a pending operation; assigned by the caller.
 pub type ProposalId = u64;
 
-/// What happens to a proposer.
+/// An input to [`Proposer::step`].
 #[derive(Debug)]
 pub enum Event {
-    /// An operation is to be made part of a register's value.
+    /// The caller requests an operation.
     Propose {
-        /// The caller's number for it.
+        /// The caller's id for the operation.
         id: ProposalId,
-        /// The register that it changes.
+        /// The register that the operation changes.
         register: RegisterId,
-        /// The operation.
+        /// The operation to apply to the register's value.
         operation: Operation,
-        /// By then it has entered a round, or it fails with [`ErrorKind::NoQuorum`].
+        /// An operation that is not part of a proposed value by this time fails with [`ErrorKind::NoQuorum`].
         deadline: Millis,
     },
-    /// Nobody waits for the operation any more.
+    /// The caller no longer waits for an operation.
     Cancel {
-        /// Its number.
+        /// The operation's id.
         id: ProposalId,
     },
     /// An acceptor has responded.
@@ -53,43 +53,43 @@
         /// The response.
         response: Response,
     },
-    /// Time has passed.
+    /// Called periodically: checks timeouts, deadlines and backoffs.
     Tick,
 }
 
-/// Looks up what this node's own acceptor has accepted in a register.
+/// Looks up the latest value that this node's own acceptor has accepted in a register.
 pub type LocalAccepted<'a> = dyn Fn(RegisterId) -> Option<AcceptedValue> + 'a;
 
-/// The outcome of an operation: the chosen value that it is based on, or why it failed.
+/// The outcome of an operation: the chosen value that it is based on, or the reason why it failed.
 pub type Outcome = Result<Value, Error>;
 
-/// What a proposer asks of its owner.
+/// An output of [`Proposer::step`], to be carried out by the caller.
 #[derive(Debug)]
 pub enum Action {
-    /// Send a request.
+    /// Send a request to the holders of replicas.
     Send {
-        /// To the holders of these replicas; this node may be one of them.
+        /// The addressed replicas; this node may hold one of them.
         to: Vec<ReplicaId>,
-        /// The request.
+        /// The request to send.
         request: Request,
     },
-    /// An operation has ended.
+    /// Report the outcome of an operation to its caller.
     Complete {
-        /// Its number.
+        /// The operation's id.
         id: ProposalId,
-        /// How it ended.
+        /// The chosen value, or the error.
         outcome: Outcome,
     },
-    /// A value is chosen.
+    /// A new value of a register has been chosen.
     Chosen {
-        /// The register.
+        /// The register that has changed.
         register: RegisterId,
-        /// Its new value.
+        /// The chosen value.
         value: Value,
     },
 }
 
-/// An operation that waits for a round, or is carried by one.
+/// An operation that is queued or part of a round.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingOperation {
     pub(crate) id: ProposalId,
@@ -97,28 +97,28 @@
     pub(crate) deadline: Millis,
 }
 
-/// A register's queue and round.
+/// The queue of pending operations and the current round of one register.
 #[derive(Clone, Debug, Default)]
 struct Pipeline {
-    /// Operations that wait for a round, oldest first.
+    /// Operations that are not part of a round, oldest first.
     queue: VecDeque<PendingOperation>,
-    /// Invariant: at most one round per register is under way.
+    /// The round in progress. Invariant: at most one per register.
     round: Option<Round>,
-    /// No round starts before this time.
+    /// No round starts before this time (backoff).
     retry_at: Millis,
-    /// Rounds in a row that ended without result.
+    /// Number of consecutive rounds that ended without result.
     conflicts: u32,
-    /// The revision of the latest value that this proposer had chosen.
+    /// The revision of the latest value that was chosen by a round of this proposer.
     chosen: crate::Revision,
 }
 
-/// What a response has decided about a round.
+/// A state transition of a round, caused by a response.
 enum Progress {
     /// A majority has promised.
     Promised,
     /// A majority has accepted.
     Accepted,
-    /// So many have rejected that the rest is no majority.
+    /// So many have rejected that the others are not a majority.
     Rejected,
 }
 
@@ -151,7 +151,7 @@
     }
 }
 
-/// Runs this node's rounds, one at a time for each register.
+/// The proposer role of a node: runs its rounds, one at a time for each register.
 #[derive(Clone, Debug)]
 pub struct Proposer {
     replicas: Vec<ReplicaId>,
@@ -163,7 +163,9 @@
 }
 
 impl Proposer {
-    /// A proposer that knows no replicas yet. `salt` is drawn by each process.
+    /// Creates a proposer without replicas, which starts no rounds until [`Proposer::set_replicas`] is called.
+    ///
+    /// `salt` must be random per process: it seeds the ballots' nonce, which keeps the ballots of processes apart.
     pub fn new(salt: u64) -> Proposer {
         let mut rng = Pcg64Mcg::seed_from_u64(salt);
         let nonce = rng.random();
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Sets the replicas that rounds address. `highest_number`: the highest ballot number that this node has seen.
+    /// Sets the replicas that rounds address. `highest_number` is the highest ballot number that this node has seen.
     pub fn set_replicas(&mut self, replicas: &[ReplicaId], highest_number: u64) {
         self.replicas = replicas.to_vec();
         self.highest_number = self.highest_number.max(highest_number);
@@ -186,7 +188,8 @@
         self.replicas.len() / 2 + 1
     }
 
-    /// Handles an event. `local` looks up what this node's own acceptor has accepted.
+    /// Handles an event and appends the resulting actions. `local` looks up the values that this node's own acceptor
+    /// has accepted.
     pub fn step(
         &mut self,
         now: Millis,
@@ -229,7 +232,8 @@
         }
     }
 
-    /// An operation that is part of a proposed value may still be chosen; it is proposed under no further ballot.
+    /// Drops a queued operation. One that is part of a proposed value may still be chosen, but is not proposed again
+    /// under another ballot.
     fn cancel(&mut self, id: ProposalId) {
         for pipeline in self.pipelines.values_mut() {
             pipeline.queue.retain(|pending| pending.id != id);
@@ -240,7 +244,7 @@
         }
     }
 
-    /// Gives up a round that hangs.
+    /// Abandons a round that has exceeded [`ROUND_TIMEOUT_MS`].
     fn expire_round(&mut self, now: Millis, register: RegisterId) {
         let round = self.pipelines[register].round.as_ref();
         if round.is_some_and(|round| now.saturating_sub(round.started_at) > ROUND_TIMEOUT_MS) {
@@ -248,7 +252,8 @@
         }
     }
 
-    /// Operations past their deadline enter no round any more. An earlier round may still have them chosen.
+    /// Fails queued operations that are past their deadline. An operation that was part of an earlier round may still
+    /// be chosen by it.
     fn expire_pending(&mut self, now: Millis, register: RegisterId, actions: &mut Vec<Action>) {
         self.pipelines[register].queue.retain(|pending| {
             let is_due = pending.deadline > now;
@@ -264,7 +269,7 @@
         });
     }
 
-    /// Ends a round without result; its operations wait again, in their order.
+    /// Ends a round without result, and puts its operations back at the head of the queue in their order.
     fn abandon_round(&mut self, now: Millis, register: RegisterId) {
         let pipeline = &mut self.pipelines[register];
         if let Some(round) = pipeline.round.take() {
@@ -273,12 +278,13 @@
             }
         }
         pipeline.conflicts += 1;
-        // A round takes two round trips: the more often rounds conflict, the further apart they are retried.
+        // A round takes two round trips, so competing proposers may interrupt each other indefinitely. Exponential
+        // backoff spreads their retries.
         let limit = BACKOFF_BASE_MS << pipeline.conflicts.min(BACKOFF_DOUBLINGS);
         pipeline.retry_at = now + self.rng.random_range(BACKOFF_MIN_MS..limit);
     }
 
-    /// Begins a round if operations wait and none is under way.
+    /// Begins a round if operations are queued and no round or backoff is in progress.
     fn begin_round(
         &mut self,
         now: Millis,
@@ -331,8 +337,8 @@
         let Some(round) = round.filter(|round| round.ballot == ballot) else {
             return;
         };
-        // The proposer may not know that a node holds another replica by now. A response counts for that one alone,
-        // however often the node is asked.
+        // The addressed node may hold another replica than this proposer knows of. Its responses count once, for the
+        // replica that it reports, even if the node was addressed as several replicas.
         let responder = |replica: ReplicaId| match Safeguard::ResponderReplica.is_enabled() {
             true => replica,
             false => from.to_owned(),
@@ -368,7 +374,8 @@
         }
     }
 
-    /// A majority has promised: applies the pending operations to the newest accepted value and proposes the result.
+    /// Begins phase 2 after a majority has promised: applies the pending operations to the newest accepted value and
+    /// proposes the result.
     fn propose(&mut self, now: Millis, register: RegisterId, actions: &mut Vec<Action>) {
         if Safeguard::UnconditionalDeadline.is_enabled() {
             self.expire_pending(now, register, actions);
@@ -409,7 +416,7 @@
         };
         round.propose(value.clone());
         let (ballot, quorum) = (round.ballot, round.quorum());
-        // Replicas that hold this very value, where nothing changes, need not be sent it again.
+        // If the value is unchanged, replicas that already hold it are only asked to confirm it.
         let holds_value = |replica: &ReplicaId| {
             !is_changed && newest.ballot != Ballot::default() && round.holds(replica, newest.ballot)
         };
@@ -470,7 +477,7 @@
 }
 
 impl Pipeline {
-    /// The newest value cannot be decoded. It is left as it is: nothing is put in its place.
+    /// Fails all queued operations because the newest value cannot be decoded. That value is left in place.
     fn fail_pending(&mut self, now: Millis, error: &Error, actions: &mut Vec<Action>) {
         self.round = None;
         self.retry_at = now + ROUND_TIMEOUT_MS;
@@ -482,7 +489,8 @@
     }
 }
 
-/// Rejections before the value that they are based on is chosen: only with that safeguard disabled.
+/// Reports rejections before the value that they are based on is chosen. Only used in tests that disable
+/// [`Safeguard::CommittedRejections`].
 fn early_rejections(batch: &[AppliedOperation]) -> impl Iterator<Item = Action> + '_ {
     batch.iter().filter_map(|applied| {
         let error = applied.result.clone().err()?;
--- a/crates/beechcroft-consensus/src/recovery.rs
+++ b/crates/beechcroft-consensus/src/recovery.rs
@@ -1,30 +1,30 @@
-//! Recovery of a replica: what an acceptor collects before it votes under a new epoch.
+//! Recovery of a replica: the states that an acceptor collects from the others before it votes in a new epoch.
 
 use crate::register::{PerRegister, Register};
 use crate::{Epoch, Epochs, ReplicaId};
 use beechcroft_safeguards::Safeguard;
 use std::collections::BTreeMap;
 
-/// The answers to a fence, until there are enough of them.
+/// The collected responses to a fence request, until there are enough of them.
 #[derive(Clone, Debug)]
 pub(crate) struct Recovery {
-    /// The replica that is taken over.
+    /// The replica that is recovered or taken over.
     pub(crate) replica: ReplicaId,
-    /// The epoch under which this node is going to hold it.
+    /// The epoch in which this node will hold the replica.
     pub(crate) epoch: Epoch,
-    /// Everything that those who answered know of epochs.
+    /// The merged epochs of all responders.
     pub(crate) epochs: Epochs,
     states: BTreeMap<ReplicaId, RecoveredState>,
 }
 
-/// The state of a replica that has fenced the former epoch.
+/// The state of a responder, which has fenced the former epoch of the recovering replica.
 #[derive(Clone, Debug)]
 pub(crate) struct RecoveredState {
-    /// The epoch under which its holder answered.
+    /// The epoch of the responder's own replica.
     pub(crate) epoch: Epoch,
-    /// The epoch of the recovering replica that the holder knew before the fence, if it still knows.
+    /// The latest epoch of the recovering replica that the responder knew of before the fence, if still known.
     pub(crate) previous: Option<Epoch>,
-    /// Its registers.
+    /// The registers of the responder.
     pub(crate) registers: PerRegister<Register>,
 }
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Records the state of a replica, unless a later epoch of that replica has answered.
+    /// Records the state of a replica, unless a later epoch of the same replica has already responded.
     pub(crate) fn record(&mut self, replica: ReplicaId, state: RecoveredState) {
         if self
             .states
@@ -50,12 +50,12 @@
         }
     }
 
-    /// The states to recover from, once there are `required` of them.
+    /// The states to recover from; `None` until there are `required` of them.
     ///
-    /// A state does not count if another answer shows that its epoch is fenced: its holder may lack what was chosen
-    /// since. The state of the recovering replica itself, as its former holder hands it over, counts only if as many
-    /// of the others as are needed have fenced the very epoch in which that node held it: a node that held the
-    /// replica in between would have asked one of them.
+    /// A state does not count if another response shows that its epoch is fenced, because its holder may lack values
+    /// chosen since then. The state of the recovering replica itself, handed over by its former holder, counts only if
+    /// enough of the others knew of no later epoch than that holder's before they fenced it: a node that held the
+    /// replica in between would have sent a fence request to one of them.
     pub(crate) fn sufficient_states(&self, required: usize) -> Option<Vec<&RecoveredState>> {
         let counts = |(replica, state): &(&ReplicaId, &RecoveredState)| {
             **replica != self.replica && !self.is_fenced(replica, state.epoch)
--- a/crates/beechcroft-consensus/src/register.rs
+++ b/crates/beechcroft-consensus/src/register.rs
@@ -1,10 +1,10 @@
-//! Registers, ballots and the values that registers hold.
+//! Registers, and the ballots and values that they hold.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::{Index, IndexMut};
 
-/// One of the two registers. Its variants' order is its encoding on the wire.
+/// One of the two registers. The order of the variants is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RegisterId {
     /// The operator's configuration: a [`crate::ConfigStore`].
@@ -14,16 +14,17 @@
 }
 
 impl RegisterId {
-    /// Both registers, in the order of their encoding.
+    /// Both registers, in the order of their indexes.
     pub const ALL: [RegisterId; 2] = [RegisterId::Config, RegisterId::Operations];
 
-    /// The register that a call names by its index, in the first byte of its body.
+    /// The register whose index is the first byte of a request body. An empty body selects the first register, and an
+    /// index out of range wraps around.
     pub fn from_body(body: &[u8]) -> RegisterId {
         let index = usize::from(body.first().copied().unwrap_or(0));
         RegisterId::ALL[index % RegisterId::ALL.len()]
     }
 
-    /// The register's place in arrays, in calls and in record keys.
+    /// The register's index in arrays, request bodies and record keys.
     pub const fn index(self) -> usize {
         self as usize
     }
@@ -35,17 +36,17 @@
     }
 }
 
-/// One `T` for each register.
+/// A `T` for each register, indexed by [`RegisterId`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PerRegister<T>(pub [T; 2]);
 
 impl<T> PerRegister<T> {
-    /// The values of both registers, each with its register.
+    /// Iterates over both registers with their values.
     pub fn iter(&self) -> impl Iterator<Item = (RegisterId, &T)> {
         RegisterId::ALL.into_iter().zip(&self.0)
     }
 
-    /// The values of both registers, mutable.
+    /// Iterates over the values of both registers, mutably.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut T> {
         self.0.iter_mut()
     }
@@ -65,19 +66,19 @@
     }
 }
 
-/// Orders rounds (a proposal number of the paper). The nonce is drawn anew by each process, so that no two rounds
-/// share a ballot.
+/// The ballot of a round (the proposal number in Lamport's paper). Ballots are totally ordered. Each process draws a
+/// random nonce, so that no two rounds share a ballot.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Ballot {
-    /// Higher than that of any ballot that the proposer has seen.
+    /// Higher than the number of any ballot that the proposer had seen.
     pub number: u64,
-    /// Tells apart the rounds of processes that chose the same number.
+    /// Distinguishes the ballots of processes that used the same number.
     pub nonce: u64,
 }
 
-/// How often a register has changed: 0 before its first value.
+/// The number of changes of a register: 0 before its first value.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -87,7 +88,7 @@
     /// The revision of a register that was never written.
     pub const NONE: Revision = Revision(0);
 
-    /// The revision of the next change.
+    /// The revision after the next change.
     pub fn next(self) -> Revision {
         Revision(self.0 + 1)
     }
@@ -102,14 +103,14 @@
 /// The value of a register.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Value {
-    /// How often the register has changed.
+    /// The number of changes up to this value.
     pub revision: Revision,
-    /// The encoded contents: see [`crate::encoding`].
+    /// The encoded contents ([`crate::encoding`]).
     pub bytes: Vec<u8>,
 }
 
 impl Value {
-    /// Whether the register was never written.
+    /// Whether this is the value of a register that was never written.
     pub fn is_initial(&self) -> bool {
         self.revision == Revision::NONE && self.bytes.is_empty()
     }
@@ -118,18 +119,18 @@
 /// A value with the ballot under which it was accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedValue {
-    /// The ballot of the round that had it accepted.
+    /// The ballot of the round that proposed the value.
     pub ballot: Ballot,
-    /// What was accepted.
+    /// The accepted value.
     pub value: Value,
 }
 
-/// What an acceptor has promised and accepted in one register.
+/// The promise and the accepted value of an acceptor for one register.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Register {
-    /// Nothing is accepted under a lower ballot than this one.
+    /// The highest promised ballot: nothing is accepted under a lower one.
     pub promised: Ballot,
-    /// The latest value accepted. Invariant: its ballot is not above `promised`.
+    /// The latest accepted value. Invariant: its ballot is not above `promised`.
     pub accepted: Option<AcceptedValue>,
 }
 
--- a/crates/beechcroft-consensus/src/round.rs
+++ b/crates/beechcroft-consensus/src/round.rs
@@ -1,4 +1,4 @@
-//! One round of ballots, as its proposer sees it.
+//! One round of a ballot, from its proposer's point of view: the promises, acceptances and rejections received so far.
 
 use crate::proposer::PendingOperation;
 use crate::register::AcceptedValue;
@@ -7,31 +7,31 @@
 use beechcroft_safeguards::Safeguard;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An operation that a round carries, with its result should the round succeed.
+/// An operation in a round's batch, with the result that is reported if the round succeeds.
 #[derive(Clone, Debug)]
 pub(crate) struct AppliedOperation {
     pub(crate) pending: PendingOperation,
     pub(crate) result: Result<(), Error>,
 }
 
-/// A promise as it counts for a round.
+/// A promise that a round has received.
 #[derive(Clone, Copy, Debug)]
 struct Promise {
-    /// The epoch of the replica's disk.
+    /// The epoch in which the replica promised.
     epoch: Epoch,
-    /// The ballot under which the replica accepted last.
+    /// The ballot of the replica's latest accepted value.
     accepted: Ballot,
 }
 
-/// A value that the round asks the acceptors to accept.
+/// The value that the round asks the acceptors to accept.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposal {
     pub(crate) value: Value,
-    /// The replicas that have accepted it, each with the epoch in which it did.
+    /// The replicas that have accepted the value, each with the epoch in which it did.
     accepted_by: BTreeMap<ReplicaId, Epoch>,
 }
 
-/// A round that is under way.
+/// A round in progress.
 #[derive(Clone, Debug)]
 pub(crate) struct Round {
     pub(crate) ballot: Ballot,
@@ -39,11 +39,11 @@
     promises: BTreeMap<ReplicaId, Promise>,
     /// The accepted value with the highest ballot among the promises.
     pub(crate) highest_accepted: Option<AcceptedValue>,
-    /// What this node's own acceptor had accepted as the round began: the others need not send it.
+    /// The latest accepted value of this node's own acceptor when the round began; the others need not send it.
     local: Option<AcceptedValue>,
     /// `None` until a majority has promised (phase 1).
     pub(crate) proposal: Option<Proposal>,
-    /// Epochs that acceptors reported with their acceptances.
+    /// The epochs that acceptors reported with their acceptances.
     epochs: Epochs,
     rejected_by: BTreeSet<ReplicaId>,
     /// The operations that are part of the proposed value.
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Records a promise; the number of promises. One that refers to a value which this node does not hold is
-    /// ignored.
+    /// Records a promise and returns the number of promises. Ignores a promise that omits a value which this node does
+    /// not hold.
     pub(crate) fn record_promise(
         &mut self,
         replica: ReplicaId,
@@ -112,14 +112,14 @@
         self.promises.iter().map(promise).collect()
     }
 
-    /// Whether a replica said in its promise that it holds the value of this ballot.
+    /// Whether a replica reported in its promise that its latest accepted value has this ballot.
     pub(crate) fn holds(&self, replica: &str, ballot: Ballot) -> bool {
         self.promises
             .get(replica)
             .is_some_and(|promise| promise.accepted == ballot)
     }
 
-    /// Begins phase 2.
+    /// Begins phase 2 with a value.
     pub(crate) fn propose(&mut self, value: Value) {
         self.proposal = Some(Proposal {
             value,
@@ -127,10 +127,10 @@
         });
     }
 
-    /// Records an acceptance; the number of acceptances that count.
+    /// Records an acceptance and returns the number of acceptances that count.
     ///
-    /// What a fenced epoch accepted is lost with its disk. Any majority contains a replica that was asked to fence
-    /// that epoch, so one of the acceptances reports the later epoch.
+    /// An acceptance of a fenced epoch does not count, because it is lost with the disk. Any majority contains a replica
+    /// that has fenced that epoch, so one of the acceptances reports the later epoch.
     pub(crate) fn record_acceptance(
         &mut self,
         replica: ReplicaId,
@@ -148,7 +148,7 @@
         proposal.accepted_by.iter().filter(counts).count()
     }
 
-    /// Records a rejection; the number of replicas that have rejected.
+    /// Records a rejection and returns the number of replicas that have rejected.
     pub(crate) fn record_rejection(&mut self, replica: &str) -> usize {
         self.rejected_by.insert(replica.to_owned());
         self.rejected_by.len()
