--- a/crates/beechcroft-control/src/disk.rs
+++ b/crates/beechcroft-control/src/disk.rs
@@ -1,7 +1,7 @@
 //! The disk writer: a thread that owns the data folder, writes all waiting records with one sync, and reports when they
 //! are stored.
 
-use beechcroft_consensus::{Records, FORMER_KEY, IDENTITY_KEY, REGISTER_KEYS};
+use beechcroft_consensus::{Records, FORMER_IDENTITY_KEY, IDENTITY_KEY, REGISTER_KEYS};
 use beechcroft_safeguards::Safeguard;
 use beechcroft_storage::{RecordStore, Table};
 use std::future::Future;
@@ -25,7 +25,7 @@
     let is_lost = REPLICA_RECORDS.iter().any(|name| is_corrupt(name))
         && Safeguard::CorruptionIsDiskLoss.is_enabled();
     if is_lost {
-        for name in REPLICA_RECORDS.iter().chain([&FORMER_KEY]) {
+        for name in REPLICA_RECORDS.iter().chain([&FORMER_IDENTITY_KEY]) {
             table.remove(*name);
         }
         table.insert(IDENTITY_KEY.into(), Vec::new());
