--- a/crates/beechcroft-adapter/src/wire.rs
+++ b/crates/beechcroft-adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use beechcroft::decide::Relay;
 use beechcroft::*;
-use beechcroft_fleet::held::sound;
-use beechcroft_settings::Named;
+use beechcroft_fleet::load::valid_load;
+use beechcroft_settings::NamedSettings;
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -110,7 +110,11 @@
                 .split_once(':')
                 .and_then(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
             let (name, value) = value.ok_or_else(|| format!("usage: malformed '{pair}'"))?;
-            held = if name == "rif" { sound(value) } else { held };
+            held = if name == "rif" {
+                valid_load(value)
+            } else {
+                held
+            };
         }
         Ok(held)
     }
@@ -217,7 +221,7 @@
 
 struct Instance {
     relay: Relay,
-    names: Named,
+    names: NamedSettings,
 }
 
 #[derive(Default)]
--- a/crates/beechcroft-fleet/src/turns.rs
+++ b/crates/beechcroft-fleet/src/call_schedule.rs
@@ -25,7 +25,7 @@
 
 /// The turns of one relay.
 #[derive(Clone, Copy, Debug)]
-pub struct Turns {
+pub struct CallSchedule {
     /// Its number among the relays.
     place: u32,
     relays: u32,
@@ -34,9 +34,9 @@
     needed: u32,
 }
 
-impl Turns {
-    pub fn new(place: u32, relays: u32, per_s: f64, needed: u32) -> Turns {
-        Turns {
+impl CallSchedule {
+    pub fn new(place: u32, relays: u32, per_s: f64, needed: u32) -> CallSchedule {
+        CallSchedule {
             place,
             relays,
             per_s: per_s.max(0.1),
@@ -51,7 +51,7 @@
     }
 
     /// The least time between two calls of one relay, of which so many call.
-    pub fn gap(&self, voices: u32, least: Duration) -> Duration {
+    pub fn min_interval(&self, voices: u32, least: Duration) -> Duration {
         let round = Duration::from_secs_f64(f64::from(voices.min(self.relays)) / self.per_s);
         if self.is_small() {
             round.max(least)
@@ -67,7 +67,7 @@
     }
 
     /// Whether this relay may speak before the matter is settled: a round takes long, and those who speak last decide.
-    pub fn is_early(&self) -> bool {
+    pub fn may_call_early(&self) -> bool {
         !self.is_small() && self.place < self.first_last()
     }
 
@@ -90,17 +90,17 @@
     /// This relay's turn for a call that stands for `life`. Its round began at a time, perhaps behind another one; the
     /// matter is settled since a further time, or not yet. Where that is past the life of the round's first calls, a fresh
     /// one begins with the settling: what was said before is then said again.
-    pub fn forward(
+    pub fn advance_slot(
         &self,
         began: Duration,
         behind: bool,
         settled: Option<Duration>,
         life: Duration,
-    ) -> Turn {
+    ) -> CallSlot {
         if self.is_small() {
-            return Turn {
-                at: settled.unwrap_or(began),
-                anew: Duration::ZERO,
+            return CallSlot {
+                not_before: settled.unwrap_or(began),
+                repeat_before: Duration::ZERO,
             };
         }
         let began = if behind {
@@ -110,59 +110,59 @@
         };
         let in_line = self.line(f64::from(self.place) - self.per_s * BURST_S, PACE);
         let Some(settled) = settled else {
-            return Turn {
-                at: began + in_line,
-                anew: Duration::ZERO,
+            return CallSlot {
+                not_before: began + in_line,
+                repeat_before: Duration::ZERO,
             };
         };
         if settled + SPREAD > began + life {
-            return Turn {
-                at: settled + in_line,
-                anew: settled,
+            return CallSlot {
+                not_before: settled + in_line,
+                repeat_before: settled,
             };
         }
-        let at = if self.is_early() {
+        let not_before = if self.may_call_early() {
             began + in_line
         } else {
             (began + in_line).max(settled + self.behind_early())
         };
-        Turn {
-            at,
-            anew: Duration::ZERO,
+        CallSlot {
+            not_before,
+            repeat_before: Duration::ZERO,
         }
     }
 
     /// The same for what cannot wait.
-    pub fn in_haste(&self, wished: Duration) -> Turn {
+    pub fn urgent_slot(&self, wished: Duration) -> CallSlot {
         let in_line = self.line(f64::from(self.place) - self.per_s * BURST_S * HASTE, HASTE);
-        Turn {
-            at: wished + in_line,
-            anew: Duration::ZERO,
+        CallSlot {
+            not_before: wished + in_line,
+            repeat_before: Duration::ZERO,
         }
     }
 
     /// When a call is taken back that is wished no more. Those who spoke early let theirs stand, as nothing comes of them
     /// alone; the others go in line, so that a matter that wavers costs no call.
-    pub fn back(&self, wished: Duration) -> Turn {
+    pub fn withdrawal_slot(&self, wished: Duration) -> CallSlot {
         if self.is_small() {
-            return Turn {
-                at: wished,
-                anew: Duration::ZERO,
+            return CallSlot {
+                not_before: wished,
+                repeat_before: Duration::ZERO,
             };
         }
-        let at = if self.is_early() {
+        let not_before = if self.may_call_early() {
             Duration::MAX
         } else {
             wished + self.behind_early().max(SETTLE)
         };
-        Turn {
-            at,
-            anew: Duration::ZERO,
+        CallSlot {
+            not_before,
+            repeat_before: Duration::ZERO,
         }
     }
 
     /// How long a relay waits that was refused so many times in a row; `draw` is from 0 to 1. A round of all is enough.
-    pub fn again(&self, refused: u32, draw: f64) -> Duration {
+    pub fn retry_delay(&self, refused: u32, draw: f64) -> Duration {
         let round = Duration::from_secs_f64(f64::from(self.relays) / self.per_s);
         if self.is_small() {
             return round;
@@ -174,7 +174,7 @@
 
     /// After which time a call that stands for `life` is renewed: by `part` of it, but not before a round is through. Where
     /// a round takes longer than a call stands, the needed ones all stand only at the end of each.
-    pub fn renew(&self, life: Duration, part: f64) -> Duration {
+    pub fn renewal_interval(&self, life: Duration, part: f64) -> Duration {
         if self.is_small() {
             return life.mul_f64(part);
         }
@@ -190,9 +190,9 @@
 
 /// When a relay may call, and since when what it said counts as said.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Turn {
-    pub at: Duration,
-    pub anew: Duration,
+pub struct CallSlot {
+    pub not_before: Duration,
+    pub repeat_before: Duration,
 }
 
 /// How the last call fared.
@@ -209,7 +209,7 @@
 
 /// What one relay has called for, and what it wishes now.
 #[derive(Clone, Copy, Debug)]
-pub struct Voice<W> {
+pub struct CallTracker<W> {
     wish: Option<W>,
     /// When the wish came up.
     wished: Duration,
@@ -222,10 +222,10 @@
     refused: u32,
 }
 
-impl<W> Default for Voice<W> {
-    fn default() -> Voice<W> {
+impl<W> Default for CallTracker<W> {
+    fn default() -> CallTracker<W> {
         let at = Duration::ZERO;
-        Voice {
+        CallTracker {
             wish: None,
             wished: at,
             settled: None,
@@ -237,17 +237,17 @@
     }
 }
 
-impl<W: Copy + PartialEq> Voice<W> {
+impl<W: Copy + PartialEq> CallTracker<W> {
     /// The matter changed: what was said of the former one holds no more. No call follows another any faster for it.
-    pub fn forget(&mut self) {
-        *self = Voice {
+    pub fn reset(&mut self) {
+        *self = CallTracker {
             at: self.at,
-            ..Voice::default()
+            ..CallTracker::default()
         };
     }
 
     /// Notes a wish; none where nothing is to be called for. Since when it is wished.
-    pub fn wishes(&mut self, wish: Option<W>, now: Duration) -> Duration {
+    pub fn set_desired(&mut self, wish: Option<W>, now: Duration) -> Duration {
         if wish != self.wish {
             (self.wish, self.wished) = (wish, now);
         }
@@ -255,7 +255,12 @@
     }
 
     /// Since when the matter is settled. That it wavers for less than `life` begins no new round.
-    pub fn settles(&mut self, settled: bool, now: Duration, life: Duration) -> Option<Duration> {
+    pub fn note_settled(
+        &mut self,
+        settled: bool,
+        now: Duration,
+        life: Duration,
+    ) -> Option<Duration> {
         if settled && self.settled.is_none_or(|at| now > at + life) {
             self.settled = Some(now);
         }
@@ -266,7 +271,7 @@
     /// refused or has to be renewed; none is made while one waits for its answer, nor sooner than `gap` after another.
     pub fn is_due(
         &self,
-        turn: Turn,
+        turn: CallSlot,
         now: Duration,
         wait: Duration,
         gap: Duration,
@@ -278,8 +283,8 @@
         }
         match self.state {
             State::Refused(until) if self.wish == self.said => now >= until,
-            _ if self.wish != self.said || self.wish.is_some() && self.at < turn.anew => {
-                now >= turn.at
+            _ if self.wish != self.said || self.wish.is_some() && self.at < turn.repeat_before => {
+                now >= turn.not_before
             }
             State::Stands => self.wish.is_some() && since >= renew,
             State::Asked | State::Silent | State::Refused(_) => self.wish.is_some(), // the answer was lost
@@ -287,20 +292,20 @@
     }
 
     /// What was said last, and stands as far as is known.
-    pub fn said(&self) -> Option<W> {
+    pub fn last_call(&self) -> Option<W> {
         self.said
     }
 
-    pub fn calls(&mut self, now: Duration) {
+    pub fn record_sent(&mut self, now: Duration) {
         (self.said, self.at, self.state) = (self.wish, now, State::Asked);
     }
 
-    pub fn taken(&mut self) {
+    pub fn record_accepted(&mut self) {
         (self.state, self.refused) = (State::Stands, 0);
     }
 
     /// Refused, or lost; `pause` tells the wait by how many times in a row.
-    pub fn refused(&mut self, now: Duration, pause: impl FnOnce(u32) -> Duration) {
+    pub fn record_rejected(&mut self, now: Duration, pause: impl FnOnce(u32) -> Duration) {
         self.refused += 1;
         self.state = State::Refused(now + pause(self.refused));
     }
--- a/crates/beechcroft-fleet/src/lib.rs
+++ b/crates/beechcroft-fleet/src/lib.rs
@@ -2,6 +2,6 @@
 //! places go out. Nothing here knows a task, a unit or a build, nor loosens a rule that the relay keeps alone.
 //! `docs/design/fleet.md` tells what was seen and why it is so.
 
-pub mod held;
+pub mod call_schedule;
+pub mod load;
 pub mod subset;
-pub mod turns;
--- a/crates/beechcroft-fleet/src/held.rs
+++ b/crates/beechcroft-fleet/src/load.rs
@@ -13,19 +13,19 @@
 const MOST: f64 = 1e6;
 
 /// What a load report's figure says; one out of range, or no number, says nothing.
-pub fn sound(held: f64) -> Option<f64> {
+pub fn valid_load(held: f64) -> Option<f64> {
     (0.0..=MOST).contains(&held).then_some(held)
 }
 
 /// What is believed of one unit.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Held {
+pub struct LoadEstimate {
     told: Option<(f64, Duration)>,
 }
 
-impl Held {
+impl LoadEstimate {
     /// How many it holds now, where those like it hold `usual`.
-    pub fn now(&self, now: Duration, usual: f64) -> f64 {
+    pub fn at(&self, now: Duration, usual: f64) -> f64 {
         let Some((told, at)) = self.told else {
             return usual;
         };
@@ -34,8 +34,8 @@
     }
 
     /// It told that it holds so many.
-    pub fn tells(&mut self, held: f64, now: Duration, usual: f64) {
-        let believed = self.now(now, usual);
+    pub fn record(&mut self, held: f64, now: Duration, usual: f64) {
+        let believed = self.at(now, usual);
         let follow = if self.told.is_some() { FOLLOW } else { 1.0 };
         self.told = Some((believed + (held - believed) * follow, now));
     }
@@ -43,11 +43,11 @@
 
 /// What units usually hold, over the words of all.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Usual(f64);
+pub struct TypicalLoad(f64);
 
-impl Usual {
+impl TypicalLoad {
     /// The mean of the last fifty words or so.
-    pub fn tells(&mut self, held: f64) {
+    pub fn record(&mut self, held: f64) {
         self.0 += (held - self.0) * 0.02;
     }
 
--- a/crates/beechcroft-fleet/src/subset.rs
+++ b/crates/beechcroft-fleet/src/subset.rs
@@ -8,7 +8,7 @@
 
 /// Idle connections are kept for this part of the time after which the unit may close them, as a task written while it
 /// closes one is lost.
-pub const KEPT_PART: f64 = 0.5;
+pub const IDLE_KEEP_FRACTION: f64 = 0.5;
 /// Meetings of a relay with each unit of its set within the time for which a connection is kept. At 4 one in 50 finds
 /// it closed, as tasks come at random; more would leave fewer units to choose from.
 const MEETINGS: f64 = 4.0;
@@ -16,13 +16,13 @@
 const LEAST: usize = 3;
 
 /// How many units a relay keeps to that sends so many tasks a second, and keeps an idle connection for `kept`.
-pub fn width(per_s: f64, kept: Duration) -> usize {
+pub fn subset_size(per_s: f64, kept: Duration) -> usize {
     ((per_s * kept.as_secs_f64() / MEETINGS).ceil() as usize).max(LEAST)
 }
 
 /// The units in the order in which this relay takes them, by their places in `keys`. Keys are hashes, the same at every
 /// relay; equal ones keep their order.
-pub fn order(me: u32, keys: &[u32]) -> Vec<usize> {
+pub fn rank_units(me: u32, keys: &[u32]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..keys.len()).collect();
     order.sort_by_cached_key(|&at| mix(me, keys[at]));
     order
@@ -38,12 +38,12 @@
 
 /// Tasks a second, followed over `over`; from the start on as counted so far.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Rate {
+pub struct TaskRate {
     count: f64,
     seconds: f64,
 }
 
-impl Rate {
+impl TaskRate {
     /// A while passed in which so many came.
     pub fn add(&mut self, count: f64, passed: Duration, over: Duration) {
         self.count += count;
--- a/crates/beechcroft-operator/src/lib.rs
+++ b/crates/beechcroft-operator/src/lib.rs
@@ -8,12 +8,12 @@
 use std::fmt;
 use std::ops::Range;
 use std::path::Path;
-use table::{Key, Table};
+use table::{KeyInfo, Table};
 use toml::Spanned;
 
 table! {
     /// Clients' connections that are kept while nothing is asked on them.
-    Connections, RawConnections, "connections" {
+    ConnectionSettings, RawConnections, "connections" {
         park: bool = true, false, true, "",
             "Whether a connection is parked between its tasks. If not, it keeps its buffers while it waits, \
              some ten times the memory.";
@@ -48,8 +48,8 @@
 
 /// All of it; a table that is absent is off.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Operator {
-    pub connections: Option<Connections>,
+pub struct OperatorConfig {
+    pub connections: Option<ConnectionSettings>,
 }
 
 #[derive(Deserialize)]
@@ -60,32 +60,32 @@
 
 /// What cannot be taken, and where it stands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
+pub struct ConfigError {
     pub file: String,
     /// From 1; 0 where the file could not be read at all.
     pub line: usize,
     /// `table.key`, or as much of it as there is.
     pub key: String,
-    pub what: String,
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Fault {
+        let ConfigError {
             file,
             line,
             key,
-            what,
+            message,
         } = self;
         match (line, key.as_str()) {
-            (0, _) => write!(f, "{file}: {what}"),
-            (line, "") => write!(f, "{file}, line {line}: {what}"),
-            (line, key) => write!(f, "{file}, line {line}: {key}: {what}"),
+            (0, _) => write!(f, "{file}: {message}"),
+            (line, "") => write!(f, "{file}, line {line}: {message}"),
+            (line, key) => write!(f, "{file}, line {line}: {key}: {message}"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ConfigError {}
 
 /// A file's text, to say where in it something stands.
 pub struct Source<'a> {
@@ -94,7 +94,7 @@
 }
 
 impl Source<'_> {
-    pub fn fault(&self, span: Range<usize>, what: String) -> Fault {
+    pub fn error_at(&self, span: Range<usize>, message: String) -> ConfigError {
         let at = span.start.min(self.text.len());
         let line = self.text[..at].matches('\n').count();
         let lines = || self.text.lines().map(str::trim).take(line + 1);
@@ -107,59 +107,59 @@
         } else {
             format!("{table}.{key}")
         };
-        Fault {
+        ConfigError {
             file: self.file.to_owned(),
             line: line + 1,
             key,
-            what,
+            message,
         }
     }
 }
 
-impl Operator {
-    pub fn read(path: &Path) -> Result<Operator, Fault> {
+impl OperatorConfig {
+    pub fn read(path: &Path) -> Result<OperatorConfig, ConfigError> {
         let file = path.display().to_string();
-        let unread = |error| Fault {
+        let unread = |error| ConfigError {
             file: file.clone(),
             line: 0,
             key: String::new(),
-            what: format!("{error}"),
+            message: format!("{error}"),
         };
-        Operator::decode(&file, &std::fs::read_to_string(path).map_err(unread)?)
+        OperatorConfig::parse(&file, &std::fs::read_to_string(path).map_err(unread)?)
     }
 
     /// `file` is named where something cannot be taken.
-    pub fn decode(file: &str, text: &str) -> Result<Operator, Fault> {
+    pub fn parse(file: &str, text: &str) -> Result<OperatorConfig, ConfigError> {
         let source = Source { file, text };
         let raw: Raw = toml::from_str(text).map_err(|error| {
-            let what = error.message().replace("unknown field", "unknown key");
-            source.fault(error.span().unwrap_or(0..0), what)
+            let message = error.message().replace("unknown field", "unknown key");
+            source.error_at(error.span().unwrap_or(0..0), message)
         })?;
         let connections = raw
             .connections
-            .map(|raw| Connections::check(raw.into_inner(), &source));
-        Ok(Operator {
+            .map(|raw| ConnectionSettings::check(raw.into_inner(), &source));
+        Ok(OperatorConfig {
             connections: connections.transpose()?,
         })
     }
 
     /// Every key that there is.
-    pub fn keys() -> Vec<Key> {
-        Connections::keys()
+    pub fn keys() -> Vec<KeyInfo> {
+        ConnectionSettings::keys()
     }
 
     /// What holds: table, key, value; nothing of a table that is off.
-    pub fn held(&self) -> Vec<(&'static str, &'static str, String)> {
-        let held = self.connections.iter().flat_map(Table::held);
-        held.map(|(key, value)| (Connections::TITLE, key, value))
+    pub fn effective_settings(&self) -> Vec<(&'static str, &'static str, String)> {
+        let held = self.connections.iter().flat_map(Table::effective_settings);
+        held.map(|(key, value)| (ConnectionSettings::NAME, key, value))
             .collect()
     }
 
     /// The tables that are on.
-    pub fn on(&self) -> Vec<&'static str> {
+    pub fn enabled_tables(&self) -> Vec<&'static str> {
         self.connections
             .iter()
-            .map(|_| Connections::TITLE)
+            .map(|_| ConnectionSettings::NAME)
             .collect()
     }
 }
--- a/crates/beechcroft-relay/src/life/command.rs
+++ b/crates/beechcroft-relay/src/life/command.rs
@@ -3,8 +3,8 @@
 use crate::life::config::{self, Config, Holds};
 use crate::life::logs::Format;
 use crate::wire::budget::{limits, Budget};
-use beechcroft_operator::table::Key;
-use beechcroft_operator::Operator;
+use beechcroft_operator::table::KeyInfo;
+use beechcroft_operator::OperatorConfig;
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 
@@ -99,8 +99,11 @@
         )
     }
 
-    pub fn operator(&self) -> Result<Operator, String> {
-        let read = self.operator.as_ref().map(|path| Operator::read(path));
+    pub fn operator(&self) -> Result<OperatorConfig, String> {
+        let read = self
+            .operator
+            .as_ref()
+            .map(|path| OperatorConfig::read(path));
         read.transpose()
             .map(Option::unwrap_or_default)
             .map_err(|fault| fault.to_string())
@@ -117,7 +120,7 @@
 }
 
 /// What would hold: a name and a value each, files' own and derived.
-fn held(config: &Config, operator: &Operator) -> Vec<(String, String)> {
+fn held(config: &Config, operator: &OperatorConfig) -> Vec<(String, String)> {
     let Config {
         name,
         listen,
@@ -149,18 +152,18 @@
     ];
     held.extend(
         operator
-            .held()
+            .effective_settings()
             .into_iter()
             .map(|(table, key, value)| (format!("{table}.{key}"), value)),
     );
     held.extend([
         (
             "clients: connections at most".to_owned(),
-            limits.most.to_string(),
+            limits.max_open.to_string(),
         ),
         (
             "clients: of them waiting".to_owned(),
-            limits.most_idle.to_string(),
+            limits.max_idle.to_string(),
         ),
         (
             "clients: parked between tasks".to_owned(),
@@ -168,11 +171,11 @@
         ),
         (
             "clients: wait for a request".to_owned(),
-            format!("{:?}", limits.keep),
+            format!("{:?}", limits.idle_timeout),
         ),
         (
             "clients: wait to be read".to_owned(),
-            format!("{:?}", limits.wake_wait),
+            format!("{:?}", limits.queue_timeout),
         ),
         (
             "units: connections at most".to_owned(),
@@ -200,16 +203,16 @@
 }
 
 fn explain(key: Option<&str>) -> Result<String, String> {
-    let keys = Operator::keys();
+    let keys = OperatorConfig::keys();
     let Some(asked) = key else {
         return Ok(keys.iter().map(short).collect());
     };
-    let is_meant = |key: &&Key| {
+    let is_meant = |key: &&KeyInfo| {
         asked == key.table
             || asked == key.name
             || asked.split_once('.') == Some((key.table, key.name))
     };
-    let meant: Vec<&Key> = keys.iter().filter(is_meant).collect();
+    let meant: Vec<&KeyInfo> = keys.iter().filter(is_meant).collect();
     match meant[..] {
         [] => Err(format!(
             "explain: there is no key '{asked}'; `beechcroft explain` lists them all"
@@ -219,25 +222,29 @@
     }
 }
 
-fn short(key: &Key) -> String {
-    let first = key.text.split_inclusive('.').next().unwrap_or_default();
+fn short(key: &KeyInfo) -> String {
+    let first = key
+        .description
+        .split_inclusive('.')
+        .next()
+        .unwrap_or_default();
     format!("{:<32} {}\n", format!("{}.{}", key.table, key.name), first)
 }
 
-fn whole(key: &Key) -> String {
-    let Key {
+fn whole(key: &KeyInfo) -> String {
+    let KeyInfo {
         table,
         name,
         unit,
         default,
-        least,
-        most,
-        text,
+        min,
+        max,
+        description,
     } = key;
     let unit = if unit.is_empty() {
         String::new()
     } else {
         format!("unit     {unit}\n")
     };
-    format!("{table}.{name}\n{text}\n\n{unit}default  {default}\nrange    {least} to {most}\n")
+    format!("{table}.{name}\n{description}\n\n{unit}default  {default}\nrange    {min} to {max}\n")
 }
--- a/crates/beechcroft-relay/src/life/config.rs
+++ b/crates/beechcroft-relay/src/life/config.rs
@@ -6,7 +6,7 @@
 use crate::wire::platform;
 use beechcroft_core::list::List;
 use beechcroft_core::News;
-use beechcroft_settings::Named;
+use beechcroft_settings::NamedSettings;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -25,7 +25,7 @@
     pub rollouts: Option<SocketAddr>,
     pub news: Option<News>,
     pub known: Option<List>,
-    pub names: Named,
+    pub names: NamedSettings,
 }
 
 /// Which of the two holds where the environment and the file disagree.
@@ -162,7 +162,7 @@
 }
 
 /// Where relays are spoken to, if they may be.
-fn peers(all: &Value, names: &Named) -> Result<Option<Addresses>, String> {
+fn peers(all: &Value, names: &NamedSettings) -> Result<Option<Addresses>, String> {
     let settings = &names.settings;
     let listen =
         address_at(all, "/peer_listen")?.filter(|_| settings.may_tell_peers && settings.relays > 1);
--- a/crates/beechcroft-relay/src/life/run.rs
+++ b/crates/beechcroft-relay/src/life/run.rs
@@ -14,7 +14,7 @@
 use crate::wire::units::Shared;
 use beechcroft_core::module::{Clock, ModuleActor};
 use beechcroft_core::Event;
-use beechcroft_operator::Operator;
+use beechcroft_operator::OperatorConfig;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
@@ -52,7 +52,7 @@
 /// From start to exit; an error is one line. `reread` gives the configuration as it is by then.
 pub async fn run(
     config: Config,
-    operator: Operator,
+    operator: OperatorConfig,
     mut signals: Signals,
     reread: impl Fn() -> Result<Config, String>,
 ) -> Result<(), String> {
@@ -78,7 +78,7 @@
     let (listen, listener) = bound.map_err(|error| format!("listen: {listen}: {error}"))?;
     let relays = names.settings.relays;
     info!(relays, %listen, sockets, "{name} of {relays} relays, listens on {listen}, {sockets} descriptors");
-    for (table, key, value) in operator.held() {
+    for (table, key, value) in operator.effective_settings() {
         info!(table, key, value, "operator: {table}.{key} = {value}");
     }
 
@@ -139,7 +139,7 @@
             }
         }
     };
-    let longest = names.transport.longest_wait.min(LEAVE_LONGEST);
+    let longest = names.transport.max_client_wait.min(LEAVE_LONGEST);
     let leave = async {
         let all_serve = async {
             let _ = tokio::join!(first_list, first_news); // a part that cannot be had says so by its end
--- a/crates/beechcroft-relay/src/wire/budget.rs
+++ b/crates/beechcroft-relay/src/wire/budget.rs
@@ -2,8 +2,8 @@
 //! builds; the module does.
 
 use beechcroft::Settings;
-use beechcroft_connections::{HeadFrom, Limits, PARKED_BYTES};
-use beechcroft_operator::Connections;
+use beechcroft_connections::{HeadTimeoutStart, Limits, PARKED_CONNECTION_BYTES};
+use beechcroft_operator::ConnectionSettings;
 use std::time::Duration;
 
 /// The protocol's longest body; what clients send beyond it is refused.
@@ -117,7 +117,7 @@
 
 impl Budget {
     /// Clients get the larger part: a connection in the backlog is a task that counts as taken.
-    pub fn of(sockets: usize, table: Option<&Connections>) -> Budget {
+    pub fn of(sockets: usize, table: Option<&ConnectionSettings>) -> Budget {
         let rest = sockets.saturating_sub(OTHERS);
         let Some(table) = table else {
             return Budget {
@@ -138,7 +138,7 @@
 
 /// What holds for clients' connections: as the operator's table states it, else what a platform that reads every silence
 /// as a fault asks for.
-pub fn limits(table: Option<&Connections>, budget: Budget, settings: &Settings) -> Limits {
+pub fn limits(table: Option<&ConnectionSettings>, budget: Budget, settings: &Settings) -> Limits {
     let least = settings
         .tracks
         .iter()
@@ -147,45 +147,49 @@
         .unwrap_or_default();
     let without = Limits {
         park: false,
-        most: budget.clients,
-        most_idle: budget.clients,
-        fresh_keep: HEAD_WAIT,
-        keep: HEAD_WAIT,
-        head_wait: HEAD_WAIT,
-        head_from: HeadFrom::Idle,
+        max_open: budget.clients,
+        max_idle: budget.clients,
+        first_byte_timeout: HEAD_WAIT,
+        idle_timeout: HEAD_WAIT,
+        head_timeout: HEAD_WAIT,
+        head_timeout_start: HeadTimeoutStart::Idle,
         expire_per_s: EXPIRE_PER_S,
-        late_most: LATE_MOST,
-        wakes_at_once: budget.clients,
-        wake_hold: WAKE_HOLD,
-        wake_wait: least.mul_f64(WAKE_PART),
-        hold_off_most: if settings.may_name_hold_off {
+        max_close_delay: LATE_MOST,
+        max_concurrent_reads: budget.clients,
+        read_slot_timeout: WAKE_HOLD,
+        queue_timeout: least.mul_f64(WAKE_PART),
+        max_retry_after: if settings.may_name_hold_off {
             settings.max_hold_off
         } else {
             Duration::ZERO
         },
-        crowd: budget.crowd,
-        spare_after: CROWDED_WAIT,
-        leave_wait: SILENT_WAIT,
-        closing_wait: CLOSING_WAIT,
+        pressure_threshold: budget.crowd,
+        evict_after: CROWDED_WAIT,
+        drain_timeout: SILENT_WAIT,
+        linger_timeout: CLOSING_WAIT,
     };
     let Some(table) = table else { return without };
     let seconds = Duration::from_secs_f64; // the table's ranges are well within it
-    let each = if table.park { PARKED_BYTES } else { HELD_BYTES };
+    let each = if table.park {
+        PARKED_CONNECTION_BYTES
+    } else {
+        HELD_BYTES
+    };
     let most_idle = ((table.memory_mb * 1e6) as usize / each)
         .min(table.most_parked as usize)
         .max(1);
     Limits {
         park: table.park,
-        most_idle,
-        fresh_keep: seconds(table.fresh_keep_s),
-        keep: seconds(table.keep_s),
-        head_wait: seconds(table.head_wait_s),
-        head_from: HeadFrom::FirstByte,
+        max_idle: most_idle,
+        first_byte_timeout: seconds(table.fresh_keep_s),
+        idle_timeout: seconds(table.keep_s),
+        head_timeout: seconds(table.head_wait_s),
+        head_timeout_start: HeadTimeoutStart::FirstByte,
         expire_per_s: table.expire_per_s,
-        late_most: seconds(table.late_most_s),
-        wakes_at_once: table.wakes_at_once as usize,
-        wake_wait: match table.wake_wait_ms {
-            0.0 => without.wake_wait,
+        max_close_delay: seconds(table.late_most_s),
+        max_concurrent_reads: table.wakes_at_once as usize,
+        queue_timeout: match table.wake_wait_ms {
+            0.0 => without.queue_timeout,
             wait => seconds(wait / 1000.0),
         },
         ..without
--- a/crates/beechcroft-relay/src/wire/clients.rs
+++ b/crates/beechcroft-relay/src/wire/clients.rs
@@ -13,7 +13,7 @@
 use beechcroft_core::call::{Answer, Call};
 use beechcroft_core::tasks::{Hints, Taken};
 use beechcroft_core::{Event, Mailbox};
-use beechcroft_settings::Named;
+use beechcroft_settings::NamedSettings;
 use http::request::Parts;
 use http::{header, HeaderMap, HeaderName, HeaderValue, StatusCode};
 use smol_str::SmolStr;
@@ -36,10 +36,10 @@
 }
 
 impl Front {
-    pub fn new(names: &Named, module: Mailbox, life: Life) -> Front {
+    pub fn new(names: &NamedSettings, module: Mailbox, life: Life) -> Front {
         let effects = names.settings.tracks.iter().map(|track| track.effect);
         let tracks = names.tracks.iter().cloned().zip(effects).collect();
-        let longest_wait = names.transport.longest_wait;
+        let longest_wait = names.transport.max_client_wait;
         Front {
             tracks,
             tenants: names.tenants.clone(),
--- a/crates/beechcroft-relay/src/wire/discovery.rs
+++ b/crates/beechcroft-relay/src/wire/discovery.rs
@@ -6,7 +6,7 @@
 use crate::wire::sparse::whole;
 use beechcroft::{BuildId, CellId, Health, KindId, UnitId, ZoneId};
 use beechcroft_core::list::{Entry, List, Listing};
-use beechcroft_settings::Named;
+use beechcroft_settings::NamedSettings;
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use http_body_util::Full;
@@ -51,7 +51,7 @@
 }
 
 impl Places {
-    pub fn new(names: &Named) -> Places {
+    pub fn new(names: &NamedSettings) -> Places {
         Places {
             zones: names.zones.clone(),
             kinds: names.kinds.clone(),
--- a/crates/beechcroft-relay/src/wire/lot.rs
+++ b/crates/beechcroft-relay/src/wire/lot.rs
@@ -6,7 +6,9 @@
 use crate::wire::serving::{serve, Gate, LotMailbox, Stage, Told};
 use crate::wire::sparse::Sparse;
 use axum::Router;
-use beechcroft_connections::{Actions, Closed, Connections, Event, Fill, Id, Limits, Why, TICK};
+use beechcroft_connections::{
+    Actions, CloseOutcome, CloseReason, ConnectionTable, Event, Id, Limits, StateCounts, TICK,
+};
 use mio::unix::SourceFd;
 use mio::{Interest, Token};
 use slotmap::{Key, KeyData, SecondaryMap};
@@ -127,18 +129,18 @@
         // Whatever comes from now on wakes it; what has come before does so at once.
         let watched = self.watch(id, &stream);
         self.held.insert(id, Held::Watched(stream));
-        watched.is_err().then_some(Event::Left(id))
+        watched.is_err().then_some(Event::ClientClosed(id))
     }
 
     /// What a wake-up means.
     fn woken(&mut self, id: Id) -> Option<Event> {
         match self.held.get(id)? {
             Held::Watched(stream) => match look(stream) {
-                Look::Asks => Some(Event::Asking(id)),
-                Look::Left => Some(Event::Left(id)),
+                Look::Asks => Some(Event::Readable(id)),
+                Look::Left => Some(Event::ClientClosed(id)),
                 Look::Nothing => None,
             },
-            Held::TurnedAway(stream) => (!drain(stream)).then_some(Event::Left(id)),
+            Held::TurnedAway(stream) => (!drain(stream)).then_some(Event::ClientClosed(id)),
             Held::Here(_) | Held::Served(..) => None,
         }
     }
@@ -156,7 +158,7 @@
         }
     }
 
-    fn turn_away(&mut self, id: Id, hold_off: Duration) {
+    fn reject(&mut self, id: Id, hold_off: Duration) {
         let (Some(Held::Watched(stream)) | Some(Held::Here(stream))) = self.held.remove(id) else {
             return;
         };
@@ -183,20 +185,20 @@
         self.held.insert(id, Held::TurnedAway(stream));
     }
 
-    fn close(&mut self, id: Id, why: Why) -> Closed {
+    fn close_if_idle(&mut self, id: Id, why: CloseReason) -> CloseOutcome {
         let asks = match self.held.get(id) {
             Some(Held::Watched(stream) | Held::Here(stream)) => matches!(look(stream), Look::Asks),
             Some(Held::Served(_, gate)) => gate.stage() != Stage::Rest,
             Some(Held::TurnedAway(_)) | None => false,
         };
         if asks {
-            return Closed::Asking;
+            return CloseOutcome::Readable;
         }
-        self.cut(id, why);
-        Closed::Gone
+        self.force_close(id, why);
+        CloseOutcome::Closed
     }
 
-    fn cut(&mut self, id: Id, why: Why) {
+    fn force_close(&mut self, id: Id, why: CloseReason) {
         trace!(connection = id.data().as_ffi(), reason = ?why, "closed");
         if let Some(Held::Served(serving, _)) = self.held.remove(id) {
             serving.abort();
@@ -215,7 +217,7 @@
 }
 
 pub struct Lot {
-    all: Connections,
+    all: ConnectionTable,
     sockets: Sockets,
     listener: AsyncFd<TcpListener>,
     wakes: AsyncFd<mio::Poll>,
@@ -230,7 +232,7 @@
     woken: bool,
     /// Whether more connections may wait to be accepted.
     waiting: bool,
-    shown: Fill,
+    shown: StateCounts,
 }
 
 impl Lot {
@@ -253,7 +255,7 @@
                 .with_retries(PROBES)
         });
         Ok(Lot {
-            all: Connections::new(limits),
+            all: ConnectionTable::new(limits),
             sockets: Sockets {
                 registry,
                 held: SecondaryMap::new(),
@@ -273,7 +275,7 @@
             pause: None,
             woken: false,
             waiting: false,
-            shown: Fill::default(),
+            shown: StateCounts::default(),
         })
     }
 
@@ -290,21 +292,21 @@
         loop {
             let now = Instant::now();
             let pause = self.pause.filter(|&pause| pause > now);
-            let has_room = pause.is_none() && self.all.has_room(now - self.sockets.began);
-            let at_once = self.woken || self.all.more() || (self.waiting && has_room);
+            let has_room = pause.is_none() && self.all.has_capacity(now - self.sockets.began);
+            let at_once = self.woken || self.all.has_pending_work() || (self.waiting && has_room);
             tokio::select! {
                 biased;
                 () = &mut leaving, if !leaves => {
                     leaves = true;
                     self.sockets.leave.send_replace(true);
-                    self.tell(Event::Leave);
+                    self.tell(Event::Drain);
                 }
                 told = self.told.recv() => told.into_iter().for_each(|told| self.told(told)),
                 ready = self.wakes.readable() => if let Ok(mut ready) = ready {
                     ready.clear_ready();
                     self.woken = true;
                 },
-                _ = ticks.tick(), if self.all.wants_ticks() || self.shown != self.all.fill() => self.tick(),
+                _ = ticks.tick(), if self.all.needs_ticks() || self.shown != self.all.state_counts() => self.tick(),
                 ready = async { self.listener.readable().await.map(|mut ready| ready.clear_ready()) }, if has_room && !self.waiting => {
                     self.waiting = ready.is_ok();
                 }
@@ -313,7 +315,7 @@
                     if self.woken {
                         self.wake();
                     }
-                    if self.all.more() {
+                    if self.all.has_pending_work() {
                         self.tick();
                     }
                     if self.waiting && has_room {
@@ -321,7 +323,9 @@
                     }
                 }
             }
-            self.open.0.store(self.all.fill().open(), Ordering::Relaxed);
+            self.open
+                .0
+                .store(self.all.state_counts().open(), Ordering::Relaxed);
         }
     }
 
@@ -331,7 +335,7 @@
 
     fn tell(&mut self, event: Event) {
         let now = self.now();
-        self.all.on(now, event, &mut self.sockets);
+        self.all.handle(now, event, &mut self.sockets);
     }
 
     fn told(&mut self, told: Told) {
@@ -358,10 +362,10 @@
         while let Ok(told) = self.told.try_recv() {
             self.told(told);
         }
-        let crowded = self.all.crowded();
+        let crowded = self.all.is_under_pressure();
         self.tell(Event::Tick);
-        if self.all.crowded() && !crowded {
-            let open = self.all.fill().open();
+        if self.all.is_under_pressure() && !crowded {
+            let open = self.all.state_counts().open();
             self.odd
                 .warn(format!("{open} connections are open, idle ones are closed"));
         }
@@ -392,7 +396,7 @@
     /// Takes connections until there is none, no room, or others are due; whether there may be more.
     fn accept(&mut self) -> bool {
         for _ in 0..ACCEPTS {
-            if !self.all.has_room(self.now()) {
+            if !self.all.has_capacity(self.now()) {
                 return true;
             }
             match self.listener.get_ref().accept() {
@@ -401,7 +405,7 @@
                 Err(error) => {
                     self.odd.warn(format!("accept: {error}"));
                     self.pause = Some(Instant::now() + ACCEPT_PAUSE);
-                    self.tell(Event::Short);
+                    self.tell(Event::DescriptorsExhausted);
                     return true;
                 }
             }
@@ -428,12 +432,12 @@
         let event = match look(&stream) {
             Look::Asks => {
                 self.sockets.held.insert(id, Held::Here(stream));
-                Some(Event::Asking(id))
+                Some(Event::Readable(id))
             }
             Look::Nothing => self.sockets.park(id, stream),
             Look::Left => {
                 self.sockets.held.insert(id, Held::Here(stream));
-                Some(Event::Left(id))
+                Some(Event::ClientClosed(id))
             }
         };
         event.into_iter().for_each(|event| self.tell(event));
@@ -441,10 +445,10 @@
 
     /// Says how many connections are in each state, as that changes.
     fn show(&mut self) {
-        let fill = self.all.fill();
+        let fill = self.all.state_counts();
         if fill != self.shown {
             self.shown = fill;
-            let Fill {
+            let StateCounts {
                 fresh,
                 parked,
                 waking,
--- a/crates/beechcroft-relay/src/wire/serving.rs
+++ b/crates/beechcroft-relay/src/wire/serving.rs
@@ -108,7 +108,7 @@
     fn read(&self) {
         if self.stage() == Stage::Rest {
             self.enter(Stage::Head);
-            self.tell(Event::HeadBegun);
+            self.tell(Event::HeadStarted);
         }
     }
 
--- a/crates/beechcroft-relay/src/wire/units.rs
+++ b/crates/beechcroft-relay/src/wire/units.rs
@@ -9,9 +9,9 @@
 use beechcroft_core::call::{Call, Reply};
 use beechcroft_core::list::Listing;
 use beechcroft_core::{Dispatch, Ended, Event, Mailbox, ToUnit};
-use beechcroft_fleet::held;
-use beechcroft_fleet::subset::KEPT_PART;
-use beechcroft_settings::Transport;
+use beechcroft_fleet::load;
+use beechcroft_fleet::subset::IDLE_KEEP_FRACTION;
+use beechcroft_settings::TransportSettings;
 use bytes::Bytes;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use http::{header, HeaderMap, Request, Response, StatusCode, Uri};
@@ -50,12 +50,12 @@
 }
 
 impl Shared {
-    pub fn new(module: Mailbox, connections: usize, transport: &Transport) -> Shared {
+    pub fn new(module: Mailbox, connections: usize, transport: &TransportSettings) -> Shared {
         Shared {
             module,
             room: Room::new(connections),
-            dial_time_out: transport.dial_time_out,
-            keep: Keep::new(transport.idle_close.mul_f64(KEPT_PART)),
+            dial_time_out: transport.connect_timeout,
+            keep: Keep::new(transport.idle_close.mul_f64(IDLE_KEEP_FRACTION)),
         }
     }
 
@@ -367,7 +367,7 @@
 /// How many tasks a load report says that the unit holds; one that cannot be read, or says nonsense, says nothing.
 pub fn held_by(report: &[u8]) -> Option<f64> {
     let report: LoadForm = serde_json::from_slice(report).ok()?;
-    report.held.and_then(held::sound)
+    report.held.and_then(load::valid_load)
 }
 
 /// The outcome that a status proves; any but the protocol's is an error, which may have run.
--- a/crates/beechcroft-settings/src/lib.rs
+++ b/crates/beechcroft-settings/src/lib.rs
@@ -11,9 +11,9 @@
 const DIAL_TIME_OUT: Duration = Duration::from_millis(250);
 
 /// The settings, with the names that the wire uses for positions in them.
-pub struct Named {
+pub struct NamedSettings {
     pub settings: Settings,
-    pub transport: Transport,
+    pub transport: TransportSettings,
     pub tracks: Vec<String>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
@@ -21,12 +21,12 @@
 }
 
 /// What only a relay on sockets needs: no decision follows from it.
-pub struct Transport {
+pub struct TransportSettings {
     /// A connection may be closed by its unit once it has been idle this long.
     pub idle_close: Duration,
-    pub dial_time_out: Duration,
+    pub connect_timeout: Duration,
     /// The longest that a client waits for a task.
-    pub longest_wait: Duration,
+    pub max_client_wait: Duration,
 }
 
 struct Node<'a>(&'a Value, &'static str);
@@ -144,12 +144,12 @@
 }
 
 /// Reads them as text; an error begins with the path of the faulty key below them.
-pub fn read(text: &str) -> Result<Named, String> {
+pub fn read(text: &str) -> Result<NamedSettings, String> {
     read_value(&serde_json::from_str(text).map_err(|error| format!(": {error}"))?)
 }
 
 /// Reads them as a JSON value.
-pub fn read_value(value: &Value) -> Result<Named, String> {
+pub fn read_value(value: &Value) -> Result<NamedSettings, String> {
     let all = Node(value, "");
     let limits = all.at("limits", "limits.")?;
     let rules = all.at("invariants", "invariants.")?;
@@ -158,7 +158,7 @@
     all.at("stats", "stats.")?; // load reports are not used, but a deployment states them
     let mut tracks = Vec::new();
     let mut names = Vec::new();
-    let mut longest_wait = Duration::ZERO;
+    let mut max_client_wait = Duration::ZERO;
     let classes = all.list("classes")?;
     if classes.is_empty() {
         return Err(all.out_of_range("classes"));
@@ -167,7 +167,7 @@
         let node = Node(class, "classes[].");
         names.push(node.word("name")?.to_owned());
         tracks.push(track(&node)?);
-        longest_wait = longest_wait.max(node.span_or("give_up_s", Duration::ZERO)?);
+        max_client_wait = max_client_wait.max(node.span_or("give_up_s", Duration::ZERO)?);
     }
     let (mut tenants, mut tenant_quotas) = (Vec::new(), Vec::new());
     for tenant in all.list_or_empty("tenants")? {
@@ -230,15 +230,15 @@
         )?,
     };
     let kinds = all.words("kinds").unwrap_or_default();
-    let transport = Transport {
+    let transport = TransportSettings {
         idle_close: settings.idle_close,
-        dial_time_out: limits.span_or("dial_timeout_s", DIAL_TIME_OUT)?,
-        longest_wait,
+        connect_timeout: limits.span_or("dial_timeout_s", DIAL_TIME_OUT)?,
+        max_client_wait,
     };
-    if transport.dial_time_out.is_zero() {
+    if transport.connect_timeout.is_zero() {
         return Err(limits.out_of_range("dial_timeout_s"));
     }
-    Ok(Named {
+    Ok(NamedSettings {
         settings,
         transport,
         tracks: names,
--- a/crates/beechcroft-shared/src/escrow.rs
+++ b/crates/beechcroft-shared/src/escrow.rs
@@ -5,7 +5,7 @@
 //! back by a store that remembers an older state. It belongs to one start of one unit and holds for as long as that; no
 //! clocks are compared.
 
-use crate::Holder;
+use crate::RelayIncarnation;
 use beechcroft::UnitId;
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -25,8 +25,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gift {
     pub stake: Stake,
-    pub from: Holder,
-    pub to: Holder,
+    pub from: RelayIncarnation,
+    pub to: RelayIncarnation,
     /// Of all gifts of this run of the giver.
     pub number: u64,
     pub amount: Milli,
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Wish {
     pub stake: Stake,
-    pub by: Holder,
+    pub by: RelayIncarnation,
     pub amount: Milli,
 }
 
@@ -47,7 +47,7 @@
     share: Option<Milli>,
     given: u64,
     /// Gifts that were taken; what they add up to is `got`.
-    taken: BTreeSet<(Holder, u64)>,
+    taken: BTreeSet<(RelayIncarnation, u64)>,
     got: u64,
 }
 
@@ -59,7 +59,7 @@
 
 /// What one run of one relay gave and got.
 pub struct Escrow {
-    me: Holder,
+    me: RelayIncarnation,
     accounts: HashMap<Stake, Account>,
     /// Stakes that were forgotten had started by then: nothing is given or taken for such any more.
     forgotten: Option<Duration>,
@@ -67,7 +67,7 @@
 }
 
 impl Escrow {
-    pub fn new(me: Holder) -> Escrow {
+    pub fn new(me: RelayIncarnation) -> Escrow {
         Escrow {
             me,
             accounts: HashMap::new(),
--- a/crates/beechcroft-shared/src/lib.rs
+++ b/crates/beechcroft-shared/src/lib.rs
@@ -15,7 +15,7 @@
 
 /// One run of one relay: its number, and a number drawn at its start. What was meant for an earlier run is nobody's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Holder {
+pub struct RelayIncarnation {
     pub relay: PeerId,
-    pub run: u64,
+    pub incarnation: u64,
 }
--- a/crates/beechcroft-shared/src/marks.rs
+++ b/crates/beechcroft-shared/src/marks.rs
@@ -4,27 +4,30 @@
 //! For a deduplicated task a mark that is found keeps it to its group and window, and past the window it is not sent. For an
 //! unrepeatable task the mark is a claim: one that is found is never a permission, and neither is silence.
 
-use crate::Holder;
+use crate::RelayIncarnation;
 use beechcroft::{Effect, UnitId};
 use std::time::Duration;
 
 /// What lies in the store for a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mark {
-    pub by: Holder,
+pub struct ExecutionMark {
+    pub owner: RelayIncarnation,
     /// Where it may have run, if it was sent by then.
     pub unit: Option<UnitId>,
 }
 
 /// What came of asking the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum ClaimOutcome {
     /// No mark was there; ours is now.
-    Nothing,
-    /// A mark was there, and is kept for `left` more by the store's own clock.
-    Mark { mark: Mark, left: Duration },
+    Claimed,
+    /// A mark was there, and is kept for `remaining` more by the store's own clock.
+    AlreadyMarked {
+        mark: ExecutionMark,
+        remaining: Duration,
+    },
     /// Nothing was written: the command never left.
-    Unasked,
+    NotSent,
     /// It was written, and no reply that can be believed came in time.
     Unknown,
 }
@@ -57,22 +60,22 @@
 }
 
 /// What a task of this effect may do, given what was found; `waited` is how long the reply took.
-pub fn leave(effect: Effect, found: Found, me: Holder, waited: Duration) -> Leave {
-    let (mark, left) = match found {
-        Found::Nothing => return Leave::Free,
-        Found::Unasked | Found::Unknown => return Leave::Alone,
-        Found::Mark { mark, left } => (mark, left),
+pub fn leave(effect: Effect, found: ClaimOutcome, me: RelayIncarnation, waited: Duration) -> Leave {
+    let (mark, remaining) = match found {
+        ClaimOutcome::Claimed => return Leave::Free,
+        ClaimOutcome::NotSent | ClaimOutcome::Unknown => return Leave::Alone,
+        ClaimOutcome::AlreadyMarked { mark, remaining } => (mark, remaining),
     };
     match (effect, mark.unit) {
         (Effect::Idempotent, _) => Leave::Alone,
         (Effect::Unrepeatable, _) => Leave::Never,
         // This very run marked it and has not sent it: its own memory knows better.
-        (Effect::Deduplicated { .. }, None) if mark.by == me => Leave::Alone,
+        (Effect::Deduplicated { .. }, None) if mark.owner == me => Leave::Alone,
         // Somebody was about to send it, to a place that is not known.
         (Effect::Deduplicated { .. }, None) => Leave::Never,
         (Effect::Deduplicated { window, .. }, Some(unit)) => {
             // By the store's clock alone, which both sides of the difference come from, and at its oldest.
-            let age = (window + KEPT_BEYOND).saturating_sub(left) + waited;
+            let age = (window + KEPT_BEYOND).saturating_sub(remaining) + waited;
             match age < window {
                 true => Leave::Repeat { unit, age },
                 false => Leave::Never,
--- a/crates/beechcroft-store/src/lib.rs
+++ b/crates/beechcroft-store/src/lib.rs
@@ -8,7 +8,7 @@
 mod claim;
 mod link;
 
-use beechcroft_shared::marks::{Found, Mark};
+use beechcroft_shared::marks::{ClaimOutcome, ExecutionMark};
 pub use claim::name;
 use link::{Batch, Link};
 use rand::{RngExt, SeedableRng};
@@ -51,15 +51,15 @@
     /// To mark a task, unless it has a mark; what was found. After `by` nobody waits any more, and it is not asked.
     Claim {
         name: String,
-        mark: Mark,
+        mark: ExecutionMark,
         kept: Duration,
         by: Instant,
-        found: oneshot::Sender<Found>,
+        found: oneshot::Sender<ClaimOutcome>,
     },
     /// To write where a task that this run has marked was sent. Nobody waits.
     Sent {
         name: String,
-        mark: Mark,
+        mark: ExecutionMark,
         kept: Duration,
     },
     /// The store is elsewhere from now on.
@@ -87,8 +87,14 @@
         Store(sender)
     }
 
-    /// Marks a task; waits for no longer than `wait`. Silence is [`Found::Unknown`], as the mark may be written.
-    pub async fn claim(&self, name: String, mark: Mark, kept: Duration, wait: Duration) -> Found {
+    /// Marks a task; waits for no longer than `wait`. Silence is [`ClaimOutcome::Unknown`], as the mark may be written.
+    pub async fn claim(
+        &self,
+        name: String,
+        mark: ExecutionMark,
+        kept: Duration,
+        wait: Duration,
+    ) -> ClaimOutcome {
         let (found, told) = oneshot::channel();
         let by = Instant::now() + wait;
         if self
@@ -102,11 +108,11 @@
             })
             .is_err()
         {
-            return Found::Unasked;
+            return ClaimOutcome::NotSent;
         }
         match timeout(wait, told).await {
             Ok(Ok(found)) => found,
-            Ok(Err(_)) | Err(_) => Found::Unknown,
+            Ok(Err(_)) | Err(_) => ClaimOutcome::Unknown,
         }
     }
 
@@ -165,7 +171,7 @@
             tokio::select! {
                 biased;
                 ask = self.asks.recv() => match ask {
-                    Some(Ask::Claim { found, .. }) => drop(found.send(Found::Unasked)),
+                    Some(Ask::Claim { found, .. }) => drop(found.send(ClaimOutcome::NotSent)),
                     Some(Ask::Sent { .. }) => {}
                     Some(Ask::Moved(to)) => {
                         self.place.address = to;
@@ -212,7 +218,9 @@
                 break;
             };
             match ask {
-                Ask::Claim { found, by, .. } if by <= now => drop(found.send(Found::Unasked)),
+                Ask::Claim { found, by, .. } if by <= now => {
+                    drop(found.send(ClaimOutcome::NotSent))
+                }
                 Ask::Claim {
                     name,
                     mark,
--- a/crates/beechcroft-store/src/link.rs
+++ b/crates/beechcroft-store/src/link.rs
@@ -3,7 +3,7 @@
 use crate::claim;
 use crate::Place;
 use beechcroft_resp::{command, Bounds, Reader, Value, Version};
-use beechcroft_shared::marks::{Found, Mark};
+use beechcroft_shared::marks::{ClaimOutcome, ExecutionMark};
 use std::collections::VecDeque;
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -29,7 +29,7 @@
     Claim {
         name: String,
         own: String,
-        found: oneshot::Sender<Found>,
+        found: oneshot::Sender<ClaimOutcome>,
     },
 }
 
@@ -64,10 +64,10 @@
     pub fn claim(
         &mut self,
         name: String,
-        mark: &Mark,
+        mark: &ExecutionMark,
         kept: Duration,
         nonce: u64,
-        found: oneshot::Sender<Found>,
+        found: oneshot::Sender<ClaimOutcome>,
     ) {
         let (own, kept) = (
             claim::encode(&name, mark, nonce),
@@ -81,7 +81,7 @@
         self.asks += 1;
     }
 
-    pub fn sent(&mut self, name: &str, mark: &Mark, kept: Duration, nonce: u64) {
+    pub fn sent(&mut self, name: &str, mark: &ExecutionMark, kept: Duration, nonce: u64) {
         let (text, kept) = (
             claim::encode(name, mark, nonce),
             kept.as_millis().max(1).to_string(),
@@ -301,8 +301,8 @@
                     Ok(what) => told.push((found, what)),
                     Err(why) => {
                         told.into_iter()
-                            .for_each(|(found, _)| drop(found.send(Found::Unknown)));
-                        let _ = found.send(Found::Unknown);
+                            .for_each(|(found, _)| drop(found.send(ClaimOutcome::Unknown)));
+                        let _ = found.send(ClaimOutcome::Unknown);
                         return Err(why);
                     }
                 }
@@ -322,9 +322,9 @@
             for due in open.due {
                 if let Due::Claim { found, .. } = due {
                     let _ = found.send(if asked {
-                        Found::Unknown
+                        ClaimOutcome::Unknown
                     } else {
-                        Found::Unasked
+                        ClaimOutcome::NotSent
                     });
                 }
             }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -9,8 +9,8 @@
 use crate::histogram::{excess, Histogram, Tally, Window};
 use crate::state::*;
 use crate::*;
+use beechcroft_fleet::call_schedule::CallTracker;
 use beechcroft_fleet::subset;
-use beechcroft_fleet::turns::Voice;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
@@ -76,7 +76,7 @@
     exposure: Exposure,
     judge: Judge,
     peers: Peers,
-    voice: Voice<Vote>,
+    voice: CallTracker<Vote>,
     ticks: u64,
 }
 
@@ -98,7 +98,7 @@
             exposure: Exposure::default(),
             judge: Judge::new(settings.tracks.len(), now),
             peers: Peers::default(),
-            voice: Voice::default(),
+            voice: CallTracker::default(),
             ticks: 0,
         }
     }
@@ -175,8 +175,8 @@
         for (_, at, _) in out.into_iter().filter(|(number, ..)| *number == dispatch) {
             self.fleet.units[at]
                 .held
-                .tells(held, self.now, self.meter.usual.value());
-            self.meter.usual.tells(held);
+                .record(held, self.now, self.meter.usual.value());
+            self.meter.usual.record(held);
         }
     }
 
--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -71,7 +71,7 @@
         };
         // Departure: of either build it keeps to as many as its tasks keep connections to.
         let part = (new / places.max(new)).clamp(0.0, 1.0);
-        let width = |part: f64| subset::width(self.meter.rate.per_s() * part, self.fig.kept);
+        let width = |part: f64| subset::subset_size(self.meter.rate.per_s() * part, self.fig.kept);
         able.retain(|&at| on_trial(at) == to_trial);
         // Where it keeps to a part of them, its own tasks there are the fewest: what units tell counts.
         let kept = width(if to_trial { part } else { 1.0 - part });
@@ -90,7 +90,7 @@
                 0.0
             };
             let others = if thin {
-                unit.held.now(self.now, usual)
+                unit.held.at(self.now, usual)
             } else {
                 0.0
             };
@@ -112,13 +112,16 @@
     }
 
     pub(super) fn rank(&mut self) {
-        let width = subset::width(self.meter.rate.per_s(), self.fig.kept);
+        let width = subset::subset_size(self.meter.rate.per_s(), self.fig.kept);
         for on_trial in [false, true] {
             let of = |unit: &Unit| unit.ready && self.cap_of(unit.build).is_some() == on_trial;
             let units = &self.fleet.units;
             let places: Vec<usize> = (0..units.len()).filter(|&at| of(&units[at])).collect();
             let tags: Vec<u32> = places.iter().map(|&at| units[at].tag).collect();
-            for (rank, nth) in subset::order(self.fig.me.0, &tags).into_iter().enumerate() {
+            for (rank, nth) in subset::rank_units(self.fig.me.0, &tags)
+                .into_iter()
+                .enumerate()
+            {
                 let unit = &mut self.fleet.units[places[nth]];
                 (unit.rank, unit.near) = (rank, rank < width);
             }
--- a/src/decide/judge.rs
+++ b/src/decide/judge.rs
@@ -143,7 +143,7 @@
         if (last.build, last.stage) != (build, stage) {
             self.judge.stage_begins(self.now);
         }
-        self.voice.forget();
+        self.voice.reset();
         if self.fig.fuses {
             act.log(&format!(
                 "build {} stage {} {phase:?} cap {cap}",
--- a/src/decide/vote.rs
+++ b/src/decide/vote.rs
@@ -29,7 +29,9 @@
             GateMode::Automatic if self.judge.bit => Vote::Hold,
             GateMode::FirstVoice if on && self.fig.me.0 < PROCEED_VOICES => Vote::On,
             // Departure: a round of votes takes long: those without whom it is not one vote ahead of it.
-            GateMode::ByCount if on || self.fig.turns.is_early() && self.is_unharmed(fused) => {
+            GateMode::ByCount
+                if on || self.fig.turns.may_call_early() && self.is_unharmed(fused) =>
+            {
                 Vote::On
             }
             _ => Vote::Nothing,
@@ -95,32 +97,36 @@
         };
         let wished = self
             .voice
-            .wishes(Some(vote).filter(|&vote| vote != Vote::Nothing), self.now);
+            .set_desired(Some(vote).filter(|&vote| vote != Vote::Nothing), self.now);
         let (turns, life) = (&self.fig.turns, self.fig.vote_life);
-        let settled = self.voice.settles(settled, self.now, life);
+        let settled = self.voice.note_settled(settled, self.now, life);
         let turn = match vote {
-            Vote::Back => turns.in_haste(wished),
-            Vote::Nothing => turns.back(wished),
-            _ => turns.forward(self.judge.stage_at, news.stage.0 > 0, settled, life),
+            Vote::Back => turns.urgent_slot(wished),
+            Vote::Nothing => turns.withdrawal_slot(wished),
+            _ => turns.advance_slot(self.judge.stage_at, news.stage.0 > 0, settled, life),
         };
         let ahead = vote == Vote::On && settled.is_none();
         let renew = if ahead {
             Duration::MAX
         } else {
-            turns.renew(life, RENEW)
+            turns.renewal_interval(life, RENEW)
         };
         let wait = self.fig.answer_wait + TICK;
         if self.fig.me.0 >= voices
-            || !self
-                .voice
-                .is_due(turn, self.now, wait, turns.gap(voices, TICK * 2), renew)
+            || !self.voice.is_due(
+                turn,
+                self.now,
+                wait,
+                turns.min_interval(voices, TICK * 2),
+                renew,
+            )
         {
             return;
         }
-        if self.voice.said().unwrap_or(Vote::Nothing) != vote && self.fig.fuses {
+        if self.voice.last_call().unwrap_or(Vote::Nothing) != vote && self.fig.fuses {
             act.log(&self.judge.line(news, vote, fused, self.worst()));
         }
-        self.voice.calls(self.now);
+        self.voice.record_sent(self.now);
         act.vote(news.build, news.stage, vote);
     }
 
@@ -131,11 +137,11 @@
     pub fn vote_answered(&mut self, outcome: Outcome) {
         let draw = self.rng.random();
         match outcome {
-            Outcome::Ok => self.voice.taken(),
-            Outcome::Moot => self.voice.refused(self.now, |_| self.fig.vote_life), // the news is on its way
+            Outcome::Ok => self.voice.record_accepted(),
+            Outcome::Moot => self.voice.record_rejected(self.now, |_| self.fig.vote_life), // the news is on its way
             _ => self
                 .voice
-                .refused(self.now, |times| self.fig.turns.again(times, draw)),
+                .record_rejected(self.now, |times| self.fig.turns.retry_delay(times, draw)),
         }
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -3,9 +3,9 @@
 use crate::cusum::Cusum;
 use crate::histogram::{Histogram, Tally, Window};
 use crate::*;
-use beechcroft_fleet::held::{Held, Usual};
-use beechcroft_fleet::subset::{Rate, KEPT_PART};
-use beechcroft_fleet::turns::Turns;
+use beechcroft_fleet::call_schedule::CallSchedule;
+use beechcroft_fleet::load::{LoadEstimate, TypicalLoad};
+use beechcroft_fleet::subset::{TaskRate, IDLE_KEEP_FRACTION};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -50,7 +50,7 @@
     pub by_track: bool,
     pub forward_only: bool,
     pub vote_life: Duration,
-    pub turns: Turns, // at the platform
+    pub turns: CallSchedule, // at the platform
     pub answer_wait: Duration,
     pub complaint_share: f64,
     pub delay_price: f64,
@@ -121,7 +121,7 @@
     pub shunned_until: Duration, // by the word of peers
     pub rank: usize,             // for this relay, among its side
     pub near: bool,              // this relay keeps to it
-    pub held: Held,
+    pub held: LoadEstimate,
 }
 
 pub struct Task {
@@ -214,11 +214,11 @@
     pub keep: f64,                 // outcomes held of the earlier build before halving
     pub mean_work: f64,
     pub handled: f64,
-    pub served_rate: f64, // work a second
-    pub arrived: f64,     // tasks of this tick
-    pub rate: Rate,       // of tasks
-    pub usual: Usual,     // held by units
-    pub mean_quoted: f64, // seconds
+    pub served_rate: f64,   // work a second
+    pub arrived: f64,       // tasks of this tick
+    pub rate: TaskRate,     // of tasks
+    pub usual: TypicalLoad, // held by units
+    pub mean_quoted: f64,   // seconds
     pub bore: (f64, f64), // work that a warm unit was seen to bear from here, and in how many seconds
     pub tenants: Vec<(f64, f64)>,
     pub again: Tally,  // repeats after an error, and those that failed once more
@@ -266,7 +266,7 @@
             by_track: settings.exposure_by_track,
             forward_only: settings.forward_only,
             vote_life: settings.vote_life,
-            turns: Turns::new(
+            turns: CallSchedule::new(
                 settings.me.0,
                 settings.relays,
                 settings.votes_per_s,
@@ -275,7 +275,7 @@
             answer_wait: settings.answer_wait,
             complaint_share: settings.complaint_share,
             delay_price: settings.delay_price,
-            kept: settings.idle_close.mul_f64(KEPT_PART),
+            kept: settings.idle_close.mul_f64(IDLE_KEEP_FRACTION),
         }
     }
 
