--- a/crates/beechcroft-operator/src/lib.rs
+++ b/crates/beechcroft-operator/src/lib.rs
@@ -1,5 +1,6 @@
-//! The operator's file: what an installation turns on beside the deployment's settings, as TOML. Each subsystem is one
-//! table, off where the table is absent. What cannot be taken is refused by table, key and line.
+//! The operator's configuration file (TOML): optional subsystems that an installation enables on top of the deployment's
+//! settings. Each subsystem is one table, and is off if its table is absent. Errors name the file, line, table and key.
+//! The relay reads the file at startup; `beechcroft check` and `beechcroft explain` print its values and keys.
 
 #[macro_use]
 pub mod table;
@@ -12,59 +13,60 @@
 use toml::Spanned;
 
 table! {
-    /// Clients' connections that are kept while nothing is asked on them.
+    /// Settings for client connections that are kept open between requests.
     ConnectionSettings, RawConnections, "connections" {
         park: bool = true, false, true, "",
-            "Whether a connection is parked between its tasks. If not, it keeps its buffers while it waits, \
-             some ten times the memory.";
+            "Whether a connection is parked between its tasks. If not, it keeps its buffers while it is idle, \
+             about ten times the memory.";
         keep_s: f64 = 3600.0, 1.0, 604_800.0, "seconds",
-            "How long a connection may wait for its next request after an answer.";
+            "How long a connection may wait for its next request after a response.";
         fresh_keep_s: f64 = 10.0, 0.5, 604_800.0, "seconds",
             "How long a new connection may wait before its first byte.";
         head_wait_s: f64 = 2.1, 0.1, 60.0, "seconds",
-            "How long a request's head may take from its first byte on.";
-        descriptors_part: f64 = 0.6, 0.1, 0.95, "part of limits.sockets",
-            "Descriptors that clients' connections may hold; units get the rest. Where they are spent, the one that \
-             has waited longest makes room.";
+            "How long a request's head may take, from its first byte on.";
+        descriptors_part: f64 = 0.6, 0.1, 0.95, "fraction of limits.sockets",
+            "Descriptors available for client connections; the rest is for units. When all are in use, the connection \
+             that has been idle longest is closed.";
         most_parked: u32 = 1_000_000, 1, 1_000_000, "connections",
-            "Connections that may wait for a request at once; the one that has waited longest goes first.";
+            "Maximum number of connections that wait for a request; beyond it the longest idle one is closed.";
         memory_mb: f64 = 64.0, 0.1, 65_536.0, "MB of user memory",
-            "Memory that waiting connections may cost, at 256 bytes each when parked and 16 KB when not. The kernel \
-             needs some 5 KB more for each, which it alone counts.";
+            "Memory for idle connections, at 256 bytes each when parked and 16 KB when not. The kernel needs about \
+             5 KB more for each, which is not counted here.";
         wakes_at_once: u32 = 64, 1, 100_000, "connections",
-            "Connections whose heads are read at once; others stand in line in the order in which they asked.";
+            "Connections whose heads are read at once; others wait in line, in the order of their requests.";
         wake_wait_ms: f64 = 0.0, 0.0, 60_000.0, "milliseconds",
             "How long a connection may stand in that line before it is answered 503 with a time to come back. \
              0 takes half of the shortest quoted time.";
         expire_per_s: u32 = 1000, 1, 1_000_000, "connections a second",
-            "Connections whose time is up that are closed in a second, where late_most_s allows it.";
+            "Connections past their timeout that are closed in a second, as far as late_most_s allows.";
         late_most_s: f64 = 10.0, 0.1, 3600.0, "seconds",
-            "How much later than its time a connection may be closed; the rate rises if it must.";
+            "How long after its timeout a connection may be closed at the latest; the rate rises if necessary.";
         probe_s: f64 = 0.0, 0.0, 32_767.0, "seconds",
-            "After so long without a byte the kernel asks whether the client's machine is still there, each 10 s, and \
-             gives up after 3 times. 0 leaves it to keep_s.";
+            "Idle time after which the kernel sends TCP keepalive probes, one every 10 s, and gives up after 3. \
+             0 sends none and leaves it to keep_s.";
     }
 }
 
-/// All of it; a table that is absent is off.
+/// The whole file; the table of a disabled subsystem is `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
     pub connections: Option<ConnectionSettings>,
 }
 
+/// The file as serde reads it, before values are checked against their ranges.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Raw {
+struct RawConfig {
     connections: Option<Spanned<RawConnections>>,
 }
 
-/// What cannot be taken, and where it stands.
+/// An error in the file, and where it is.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigError {
     pub file: String,
-    /// From 1; 0 where the file could not be read at all.
+    /// Counted from 1; 0 if the file could not be read at all.
     pub line: usize,
-    /// `table.key`, or as much of it as there is.
+    /// `table.key`, or the part of it that is known.
     pub key: String,
     pub message: String,
 }
@@ -87,21 +89,24 @@
 
 impl std::error::Error for ConfigError {}
 
-/// A file's text, to say where in it something stands.
+/// A file's text, to locate errors in it.
 pub struct Source<'a> {
     file: &'a str,
     text: &'a str,
 }
 
 impl Source<'_> {
+    /// The error for a byte range of the text. The key is taken from the line where the range begins and from the last
+    /// table header up to it.
     pub fn error_at(&self, span: Range<usize>, message: String) -> ConfigError {
-        let at = span.start.min(self.text.len());
-        let line = self.text[..at].matches('\n').count();
+        let start = span.start.min(self.text.len());
+        let line = self.text[..start].matches('\n').count();
         let lines = || self.text.lines().map(str::trim).take(line + 1);
-        let title = |line: &str| Some(line.strip_prefix('[')?.split(']').next()?.trim().to_owned());
-        let table = lines().filter_map(title).last().unwrap_or_default();
-        let own = self.text.lines().nth(line).unwrap_or_default();
-        let key = own.split_once('=').map_or("", |(key, _)| key.trim());
+        let header =
+            |line: &str| Some(line.strip_prefix('[')?.split(']').next()?.trim().to_owned());
+        let table = lines().filter_map(header).last().unwrap_or_default();
+        let line_text = self.text.lines().nth(line).unwrap_or_default();
+        let key = line_text.split_once('=').map_or("", |(key, _)| key.trim());
         let key = if key.is_empty() || table.is_empty() {
             table + key
         } else {
@@ -117,21 +122,22 @@
 }
 
 impl OperatorConfig {
+    /// Reads and checks the file at `path`.
     pub fn read(path: &Path) -> Result<OperatorConfig, ConfigError> {
         let file = path.display().to_string();
-        let unread = |error| ConfigError {
+        let io_error = |error| ConfigError {
             file: file.clone(),
             line: 0,
             key: String::new(),
             message: format!("{error}"),
         };
-        OperatorConfig::parse(&file, &std::fs::read_to_string(path).map_err(unread)?)
+        OperatorConfig::parse(&file, &std::fs::read_to_string(path).map_err(io_error)?)
     }
 
-    /// `file` is named where something cannot be taken.
+    /// Parses and checks a file's text; `file` is its name in errors.
     pub fn parse(file: &str, text: &str) -> Result<OperatorConfig, ConfigError> {
         let source = Source { file, text };
-        let raw: Raw = toml::from_str(text).map_err(|error| {
+        let raw: RawConfig = toml::from_str(text).map_err(|error| {
             let message = error.message().replace("unknown field", "unknown key");
             source.error_at(error.span().unwrap_or(0..0), message)
         })?;
@@ -143,19 +149,20 @@
         })
     }
 
-    /// Every key that there is.
+    /// All keys of all tables.
     pub fn keys() -> Vec<KeyInfo> {
         ConnectionSettings::keys()
     }
 
-    /// What holds: table, key, value; nothing of a table that is off.
+    /// The settings of all enabled subsystems: table, key, value.
     pub fn effective_settings(&self) -> Vec<(&'static str, &'static str, String)> {
-        let held = self.connections.iter().flat_map(Table::effective_settings);
-        held.map(|(key, value)| (ConnectionSettings::NAME, key, value))
+        let settings = self.connections.iter().flat_map(Table::effective_settings);
+        settings
+            .map(|(key, value)| (ConnectionSettings::NAME, key, value))
             .collect()
     }
 
-    /// The tables that are on.
+    /// The names of the tables of all enabled subsystems.
     pub fn enabled_tables(&self) -> Vec<&'static str> {
         self.connections
             .iter()
--- a/crates/beechcroft-operator/src/table.rs
+++ b/crates/beechcroft-operator/src/table.rs
@@ -1,17 +1,17 @@
-//! How a table of the operator's file is stated: each key once, with its type, default, range, unit and meaning. The
-//! reader, the defaults, the refusals and `beechcroft explain` all come from that one statement.
+//! Declares the tables of the operator's file. The `table!` macro lists each key once, with its type, default, range, unit
+//! and description; parsing, defaults, range checks and `beechcroft explain` are generated from that list.
 
 use crate::{ConfigError, Source};
 use serde::de::DeserializeOwned;
 use std::fmt::Display;
 use toml::Spanned;
 
-/// One key, as it is explained.
+/// A key and its documentation, as `beechcroft explain` prints it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyInfo {
     pub table: &'static str,
     pub name: &'static str,
-    /// Empty where it has none.
+    /// Empty if the value has no unit.
     pub unit: &'static str,
     pub default: String,
     pub min: String,
@@ -19,39 +19,44 @@
     pub description: &'static str,
 }
 
-/// A table whose keys are stated with `table!`.
+/// A table declared with `table!`.
 pub trait Table: Sized {
+    /// The table's name in the file.
     const NAME: &'static str;
-    /// What serde reads: each key if it is there, with its place.
+    /// The table as serde reads it: each key is optional and has its position in the file.
     type Raw: DeserializeOwned;
 
+    /// Checks all values against their ranges, and sets the defaults of absent keys.
     fn check(raw: Self::Raw, source: &Source) -> Result<Self, ConfigError>;
+    /// All keys of the table.
     fn keys() -> Vec<KeyInfo>;
-    /// What holds, key by key, as it would be written.
+    /// All keys and their values, formatted as in the file.
     fn effective_settings(&self) -> Vec<(&'static str, String)>;
 }
 
-/// The value of a key: the stated one, if it is within its range, else the default.
+/// The value of a key: the one in the file, or the default if there is none. Fails if the value is out of range.
 pub fn check_range<T: PartialOrd + Display>(
-    stated: Option<Spanned<T>>,
+    given: Option<Spanned<T>>,
     default: T,
     min: T,
     max: T,
     source: &Source,
 ) -> Result<T, ConfigError> {
-    let Some(stated) = stated else {
+    let Some(given) = given else {
         return Ok(default);
     };
-    let value = stated.get_ref();
+    let value = given.get_ref();
     if *value >= min && *value <= max {
-        return Ok(stated.into_inner());
+        return Ok(given.into_inner());
     }
     Err(source.error_at(
-        stated.span(),
+        given.span(),
         format!("{value} is out of range, {min} to {max} can be had"),
     ))
 }
 
+/// Declares a table: doc comment, type, raw type, table name, and for each key its name, type, default, minimum, maximum,
+/// unit and description.
 #[macro_export]
 macro_rules! table {
     ($(#[$doc:meta])* $name:ident, $raw:ident, $title:literal {
