--- a/crates/beechcroft-shared/src/breaker.rs
+++ b/crates/beechcroft-shared/src/breaker.rs
@@ -1,112 +1,135 @@
-//! When the store is not worth waiting for. A task waits a stated small part of its quoted time; after several such waits in
-//! vain nobody waits for a while, and then one does, to see.
+//! A circuit breaker between tasks and the store. A task waits for the store for a small fraction of its quoted time. After
+//! several failed waits no task waits for a while; then a single one probes whether the store is back.
 
 use std::time::Duration;
 
+/// Settings of a [`Breaker`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Waits {
-    /// Of its quoted time, what a task may wait.
-    pub part: f64,
-    /// And never longer than this.
-    pub most: Duration,
-    /// Waits in vain, one after another or among the last ten, after which nobody waits.
-    pub vain: u32,
-    /// For how long nobody waits at first; doubled each time that a probe is in vain.
-    pub pause: Duration,
-    pub pause_most: Duration,
+pub struct BreakerConfig {
+    /// The fraction of its quoted time that a task may wait.
+    pub wait_fraction: f64,
+    /// The longest that any task may wait.
+    pub max_wait: Duration,
+    /// Failed waits among the last ten at which the breaker opens.
+    pub failure_threshold: u32,
+    /// How long the breaker stays open at first; doubled by each failed probe.
+    pub open_time: Duration,
+    /// Upper bound of the doubled time.
+    pub max_open_time: Duration,
 }
 
-/// Waits that are looked back on.
-const LAST: u32 = 10;
+/// Number of past waits that count.
+const WINDOW: u32 = 10;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// Tasks wait. A bit for each of the last waits, set where it was in vain.
-    Closed { vain: u32 },
-    /// Nobody waits until then.
-    Open { until: Duration, pause: Duration },
-    /// One waits, since then, to see whether the store is back.
-    Probing { since: Duration, pause: Duration },
+    /// Tasks wait. `failures` has a bit for each of the last waits, set if the wait failed.
+    Closed { failures: u32 },
+    /// No task waits before `until`.
+    Open {
+        until: Duration,
+        open_time: Duration,
+    },
+    /// A single task has waited since `since`, as a probe.
+    HalfOpen {
+        since: Duration,
+        open_time: Duration,
+    },
 }
 
-/// A breaker between tasks and the store.
+/// A circuit breaker between tasks and the store.
 #[derive(Debug)]
 pub struct Breaker {
-    waits: Waits,
+    config: BreakerConfig,
     state: State,
 }
 
-/// Whether a task may wait.
+/// Whether a task may wait for the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum May {
-    /// For so long at most.
+pub enum Admission {
+    /// It may wait for at most this long.
     Wait(Duration),
-    /// The same, to see whether the store is back.
+    /// The same, as a probe whether the store is back.
     Probe(Duration),
-    /// Not at all.
-    GoOn,
+    /// It goes on without the store.
+    Skip,
 }
 
 impl Breaker {
-    pub fn new(waits: Waits) -> Breaker {
+    /// A closed breaker.
+    pub fn new(config: BreakerConfig) -> Breaker {
         Breaker {
-            waits,
-            state: State::Closed { vain: 0 },
+            config,
+            state: State::Closed { failures: 0 },
         }
     }
 
+    /// Whether tasks skip the store, apart from probes.
     pub fn is_open(&self) -> bool {
         !matches!(self.state, State::Closed { .. })
     }
 
-    /// A task is about to ask. `lot` in 0..1 spreads the ends of pauses, so that relays do not probe together.
-    pub fn ask(&mut self, now: Duration, quoted: Duration, lot: f64) -> May {
-        let wait = quoted.mul_f64(self.waits.part).min(self.waits.most);
+    /// Decides for a task with the given quoted time. `jitter` in 0..1 delays the end of the open state by up to a
+    /// quarter, so that relays do not probe together.
+    pub fn admit(&mut self, now: Duration, quoted: Duration, jitter: f64) -> Admission {
+        let wait = quoted
+            .mul_f64(self.config.wait_fraction)
+            .min(self.config.max_wait);
         match self.state {
-            State::Closed { .. } => May::Wait(wait),
-            State::Open { until, pause }
-                if now >= until + pause.mul_f64(lot.clamp(0.0, 1.0) / 4.0) =>
+            State::Closed { .. } => Admission::Wait(wait),
+            State::Open { until, open_time }
+                if now >= until + open_time.mul_f64(jitter.clamp(0.0, 1.0) / 4.0) =>
             {
-                self.state = State::Probing { since: now, pause };
-                May::Probe(wait)
+                self.state = State::HalfOpen {
+                    since: now,
+                    open_time,
+                };
+                Admission::Probe(wait)
             }
-            // A probe whose end was never told is not waited for for ever.
-            State::Probing { since, pause } if now >= since + self.waits.most + pause => {
-                self.state = State::Probing { since: now, pause };
-                May::Probe(wait)
+            // A probe whose result was never reported does not block further ones.
+            State::HalfOpen { since, open_time }
+                if now >= since + self.config.max_wait + open_time =>
+            {
+                self.state = State::HalfOpen {
+                    since: now,
+                    open_time,
+                };
+                Admission::Probe(wait)
             }
-            State::Open { .. } | State::Probing { .. } => May::GoOn,
+            State::Open { .. } | State::HalfOpen { .. } => Admission::Skip,
         }
     }
 
-    /// A wait ended: with a reply, or in vain.
-    pub fn ended(&mut self, now: Duration, answered: bool) {
+    /// Records that a wait ended, with a reply or without one.
+    pub fn record_result(&mut self, now: Duration, answered: bool) {
         match self.state {
-            State::Closed { vain } => {
-                let vain = ((vain << 1) | u32::from(!answered)) & ((1 << LAST) - 1);
-                self.state = State::Closed { vain };
-                if vain.count_ones() >= self.waits.vain {
-                    self.open(now, self.waits.pause);
+            State::Closed { failures } => {
+                let failures = ((failures << 1) | u32::from(!answered)) & ((1 << WINDOW) - 1);
+                self.state = State::Closed { failures };
+                if failures.count_ones() >= self.config.failure_threshold {
+                    self.open(now, self.config.open_time);
                 }
             }
-            State::Probing { .. } if answered => self.state = State::Closed { vain: 0 },
-            State::Probing { pause, .. } => self.open(now, (pause * 2).min(self.waits.pause_most)),
-            // A wait from before it opened.
+            State::HalfOpen { .. } if answered => self.state = State::Closed { failures: 0 },
+            State::HalfOpen { open_time, .. } => {
+                self.open(now, (open_time * 2).min(self.config.max_open_time));
+            }
+            // The wait began before the breaker opened.
             State::Open { .. } => {}
         }
     }
 
-    /// The connection is gone: nobody waits for what cannot come.
-    pub fn lost(&mut self, now: Duration) {
+    /// Records that the connection was lost: no task waits for a reply that cannot come.
+    pub fn record_disconnect(&mut self, now: Duration) {
         if let State::Closed { .. } = self.state {
-            self.open(now, self.waits.pause);
+            self.open(now, self.config.open_time);
         }
     }
 
-    fn open(&mut self, now: Duration, pause: Duration) {
+    fn open(&mut self, now: Duration, open_time: Duration) {
         self.state = State::Open {
-            until: now + pause,
-            pause,
+            until: now + open_time,
+            open_time,
         };
     }
 }
--- a/crates/beechcroft-shared/src/escrow.rs
+++ b/crates/beechcroft-shared/src/escrow.rs
@@ -1,160 +1,177 @@
-//! Budget by escrow. A relay may give a part of its own share of a cold unit's budget to another one: it subtracts first and
-//! writes then. Whatever is lost in between is lost to all, so that what all spend never exceeds the sum of their shares.
+//! Transfers of budget between relays, by escrow. A relay may transfer a part of its own share of a cold unit's budget to
+//! another relay: it first subtracts the amount from its share, and then writes the transfer to the store. A transfer that
+//! is lost in between is lost to all, so that the sum of what all relays spend never exceeds the sum of their shares.
 //!
-//! A gift names who may take it and has a number of its own, so it counts once however often it is written, told or brought
-//! back by a store that remembers an older state. It belongs to one start of one unit and holds for as long as that; no
-//! clocks are compared.
+//! A transfer names its receiver and has a sequence number, so it counts once, however often it is written, read, or
+//! brought back by a store that reverts to an older state. It belongs to one start of one unit and is valid as long as
+//! that; no clocks are compared.
 
 use crate::RelayIncarnation;
 use beechcroft::UnitId;
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// What budgets are counted in: thousandths of a task's work.
+/// The unit of budgets: thousandths of a task's work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Milli(pub u64);
+pub struct MilliTasks(pub u64);
 
-/// A unit since one of its starts; another start is another one.
+/// One start of a unit; budgets do not carry over to another start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Stake {
+pub struct UnitStart {
     pub unit: UnitId,
     pub started: Duration,
 }
 
-/// A part of a share that changes hands.
+/// A part of a share that one relay transfers to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Gift {
-    pub stake: Stake,
+pub struct Transfer {
+    pub unit_start: UnitStart,
     pub from: RelayIncarnation,
     pub to: RelayIncarnation,
-    /// Of all gifts of this run of the giver.
-    pub number: u64,
-    pub amount: Milli,
+    /// Unique among all transfers of `from`.
+    pub sequence: u64,
+    pub amount: MilliTasks,
 }
 
-/// What a relay would like to have.
+/// A relay's request for a transfer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wish {
-    pub stake: Stake,
-    pub by: RelayIncarnation,
-    pub amount: Milli,
+pub struct TransferRequest {
+    pub unit_start: UnitStart,
+    pub requester: RelayIncarnation,
+    pub amount: MilliTasks,
 }
 
-/// One relay's account of one stake.
+/// One relay's account for one start of a unit.
 #[derive(Debug, Default)]
 struct Account {
-    /// The smallest share that it ever had here: what was given away of a larger one could not be made good.
-    share: Option<Milli>,
-    given: u64,
-    /// Gifts that were taken; what they add up to is `got`.
-    taken: BTreeSet<(RelayIncarnation, u64)>,
-    got: u64,
+    /// The smallest share that the relay has had here: a grant out of a larger one could not be covered later.
+    min_share: Option<MilliTasks>,
+    granted: u64,
+    /// Accepted transfers, which add up to `received`.
+    accepted: BTreeSet<(RelayIncarnation, u64)>,
+    received: u64,
 }
 
-/// Stakes kept at once; past them the one of the earliest start is forgotten, with all that was got for it. A fleet has
-/// that many units starting at once only as a whole, and then nobody has anything to give.
-const STAKES: usize = 4096;
-/// Gifts taken for one stake; further ones are lost.
-const GIFTS: usize = 1024;
+/// Maximum number of accounts; beyond it the one with the earliest start is evicted, with all that was received for it.
+/// Only a fleet that starts as a whole has so many units starting at once, and then no relay has budget to spare.
+const MAX_ACCOUNTS: usize = 4096;
+/// Maximum number of accepted transfers for one account; further ones are lost.
+const MAX_TRANSFERS: usize = 1024;
 
-/// What one run of one relay gave and got.
+/// What one incarnation of a relay granted and received.
 pub struct Escrow {
-    me: RelayIncarnation,
-    accounts: HashMap<Stake, Account>,
-    /// Stakes that were forgotten had started by then: nothing is given or taken for such any more.
-    forgotten: Option<Duration>,
-    next: u64,
+    own: RelayIncarnation,
+    accounts: HashMap<UnitStart, Account>,
+    /// The latest start of an evicted account: nothing is granted or accepted for unknown starts up to it.
+    evicted_until: Option<Duration>,
+    last_sequence: u64,
 }
 
 impl Escrow {
-    pub fn new(me: RelayIncarnation) -> Escrow {
+    /// An escrow without any transfers.
+    pub fn new(own: RelayIncarnation) -> Escrow {
         Escrow {
-            me,
+            own,
             accounts: HashMap::new(),
-            forgotten: None,
-            next: 0,
+            evicted_until: None,
+            last_sequence: 0,
         }
     }
 
-    /// What this relay may have in all where its own share is `share` now: less what it gave, and what it got.
-    pub fn allowance(&mut self, stake: &Stake, share: Milli) -> Milli {
-        let Some(account) = self.accounts.get_mut(stake) else {
+    /// The relay's total budget while its own share is `share`: the share less all grants, plus all that was received.
+    pub fn allowance(&mut self, unit_start: &UnitStart, share: MilliTasks) -> MilliTasks {
+        let Some(account) = self.accounts.get_mut(unit_start) else {
             return share;
         };
-        let least = account.share.map_or(share, |least| least.min(share));
-        account.share = Some(least);
-        Milli(share.0.saturating_sub(account.given) + account.got)
+        let min_share = account.min_share.map_or(share, |min| min.min(share));
+        account.min_share = Some(min_share);
+        MilliTasks(share.0.saturating_sub(account.granted) + account.received)
     }
 
-    /// Gives a part away that this relay has no use for: of its own share alone, half of what is left of it at most, so
-    /// that it can still serve. `spent` is what it has used. What is returned has been subtracted, and may be lost.
-    pub fn give(&mut self, wish: &Wish, share: Milli, spent: Milli) -> Option<Gift> {
-        let stake = &wish.stake;
-        if wish.by.relay == self.me.relay || self.is_forgotten(stake) {
+    /// Grants a part of this relay's own share, at most half of what is left of it, so that the relay can still serve.
+    /// `spent` is what it has used. The returned amount is already subtracted, and the transfer may be lost.
+    pub fn grant(
+        &mut self,
+        request: &TransferRequest,
+        share: MilliTasks,
+        spent: MilliTasks,
+    ) -> Option<Transfer> {
+        let unit_start = &request.unit_start;
+        if request.requester.relay == self.own.relay || self.is_evicted(unit_start) {
             return None;
         }
-        let account = self.accounts.entry(stake.clone()).or_default();
-        let least = account.share.map_or(share, |least| least.min(share));
-        let amount = (least.0.saturating_sub(account.given + spent.0) / 2).min(wish.amount.0);
+        let account = self.accounts.entry(unit_start.clone()).or_default();
+        let min_share = account.min_share.map_or(share, |min| min.min(share));
+        let amount =
+            (min_share.0.saturating_sub(account.granted + spent.0) / 2).min(request.amount.0);
         if amount == 0 {
             return None;
         }
-        account.share = Some(least);
-        account.given += amount;
-        self.next += 1;
-        let gift = Gift {
-            stake: stake.clone(),
-            from: self.me,
-            to: wish.by,
-            number: self.next,
-            amount: Milli(amount),
+        account.min_share = Some(min_share);
+        account.granted += amount;
+        self.last_sequence += 1;
+        let transfer = Transfer {
+            unit_start: unit_start.clone(),
+            from: self.own,
+            to: request.requester,
+            sequence: self.last_sequence,
+            amount: MilliTasks(amount),
         };
-        self.make_room();
-        Some(gift)
+        self.evict();
+        Some(transfer)
     }
 
-    /// Takes a gift that the store's reply has told of; what it adds, which is nothing where it is not for this run or was
-    /// taken before.
-    pub fn take(&mut self, gift: &Gift) -> Milli {
-        if gift.to != self.me || gift.from.relay == self.me.relay || self.is_forgotten(&gift.stake)
+    /// Accepts a transfer that was read from the store. Returns what it adds: nothing if it is not addressed to this
+    /// incarnation or was accepted before.
+    pub fn accept(&mut self, transfer: &Transfer) -> MilliTasks {
+        if transfer.to != self.own
+            || transfer.from.relay == self.own.relay
+            || self.is_evicted(&transfer.unit_start)
         {
-            return Milli(0);
+            return MilliTasks(0);
         }
-        let account = self.accounts.entry(gift.stake.clone()).or_default();
-        if account.taken.len() >= GIFTS || !account.taken.insert((gift.from, gift.number)) {
-            return Milli(0);
+        let account = self
+            .accounts
+            .entry(transfer.unit_start.clone())
+            .or_default();
+        if account.accepted.len() >= MAX_TRANSFERS
+            || !account.accepted.insert((transfer.from, transfer.sequence))
+        {
+            return MilliTasks(0);
         }
-        account.got += gift.amount.0;
-        self.make_room();
-        gift.amount
+        account.received += transfer.amount.0;
+        self.evict();
+        transfer.amount
     }
 
-    /// The unit is warm or gone; its stake needs no account any more, and gets none again.
-    pub fn over(&mut self, stake: &Stake) {
-        if let Some(account) = self.accounts.get_mut(stake) {
-            // What was given stays given, and what was got is not to be got again.
-            account.got = 0;
-            account.share = Some(Milli(0));
+    /// The unit is warm or gone: its account is closed for good.
+    pub fn close(&mut self, unit_start: &UnitStart) {
+        if let Some(account) = self.accounts.get_mut(unit_start) {
+            // The account stays, so that grants remain subtracted and accepted transfers are not accepted again.
+            account.received = 0;
+            account.min_share = Some(MilliTasks(0));
         }
     }
 
-    fn is_forgotten(&self, stake: &Stake) -> bool {
-        !self.accounts.contains_key(stake)
-            && self.forgotten.is_some_and(|until| stake.started <= until)
+    fn is_evicted(&self, unit_start: &UnitStart) -> bool {
+        !self.accounts.contains_key(unit_start)
+            && self
+                .evicted_until
+                .is_some_and(|until| unit_start.started <= until)
     }
 
-    fn make_room(&mut self) {
-        while self.accounts.len() > STAKES {
-            let Some(first) = self
+    fn evict(&mut self) {
+        while self.accounts.len() > MAX_ACCOUNTS {
+            let Some(earliest) = self
                 .accounts
                 .keys()
-                .min_by_key(|stake| stake.started)
+                .min_by_key(|unit_start| unit_start.started)
                 .cloned()
             else {
                 return;
             };
-            self.forgotten = self.forgotten.max(Some(first.started));
-            self.accounts.remove(&first);
+            self.evicted_until = self.evicted_until.max(Some(earliest.started));
+            self.accounts.remove(&earliest);
         }
     }
 }
--- a/crates/beechcroft-shared/src/marks.rs
+++ b/crates/beechcroft-shared/src/marks.rs
@@ -1,111 +1,122 @@
-//! Marks: that a task may have run, in which group and for how long that holds. One command sets a mark and tells the one
-//! that was there, so that of two relays one at least finds the other's.
+//! Marks in the store that a task may have run, in which group, and for how long that holds. A single command sets a mark
+//! and returns the previous one, so that of two relays at least one finds the other's mark.
 //!
-//! For a deduplicated task a mark that is found keeps it to its group and window, and past the window it is not sent. For an
-//! unrepeatable task the mark is a claim: one that is found is never a permission, and neither is silence.
+//! For a deduplicated task a mark that is found restricts it to its group and window; after the window the task is not sent.
+//! For an unrepeatable task the mark is a claim: neither a mark that is found nor a missing reply is a permission to send.
 
 use crate::RelayIncarnation;
 use beechcroft::{Effect, UnitId};
 use std::time::Duration;
 
-/// What lies in the store for a task.
+/// A task's entry in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExecutionMark {
     pub owner: RelayIncarnation,
-    /// Where it may have run, if it was sent by then.
+    /// The unit where the task may have run, if it had been sent when the mark was written.
     pub unit: Option<UnitId>,
 }
 
-/// What came of asking the store.
+/// The result of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// No mark was there; ours is now.
+    /// There was no mark; this relay's is now set.
     Claimed,
-    /// A mark was there, and is kept for `remaining` more by the store's own clock.
+    /// There was a mark, which the store keeps for `remaining` more by its own clock.
     AlreadyMarked {
         mark: ExecutionMark,
         remaining: Duration,
     },
-    /// Nothing was written: the command never left.
+    /// The command was not sent, so nothing was written.
     NotSent,
-    /// It was written, and no reply that can be believed came in time.
+    /// The command was sent, and no valid reply came in time.
     Unknown,
 }
 
-/// What a task may do.
+/// What a task may do after a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Leave {
-    /// Nobody has sent it; the store knows that this relay is about to.
-    Free,
-    /// The store has nothing to say: by this relay's own rules, as without a store.
-    Alone,
-    /// It may have run there, so long ago at most; only what its track allows for a repeat.
+pub enum Permission {
+    /// No relay has sent the task, and the store has this relay's claim.
+    Send,
+    /// The store gives no information: the relay's own rules apply, as without a store.
+    LocalRules,
+    /// The task may have run on `unit`, at most `age` ago; only what its track allows for a repeat is allowed.
     Repeat { unit: UnitId, age: Duration },
-    /// It may have run, and must not be sent.
+    /// The task may have run, and must not be sent.
     Never,
 }
 
-/// What is kept for a window is kept a little longer: a mark that went too early would be a permission.
-pub const KEPT_BEYOND: Duration = Duration::from_secs(2);
-/// For how long a claim on an unrepeatable task is kept: longer than any client repeats one.
-pub const CLAIM_KEPT: Duration = Duration::from_secs(600);
+/// How much longer than a task's window its mark is kept: a mark that expires too early would permit a second execution.
+pub const RETENTION_MARGIN: Duration = Duration::from_secs(2);
+/// How long the claim of an unrepeatable task is kept: longer than any client repeats a task.
+pub const CLAIM_RETENTION: Duration = Duration::from_secs(600);
 
-/// For how long a mark of such a task is to be kept; none where it needs no mark.
-pub fn kept(effect: Effect) -> Option<Duration> {
+/// How long the mark of a task with this effect is kept; `None` if it needs no mark.
+pub fn retention(effect: Effect) -> Option<Duration> {
     match effect {
         Effect::Idempotent => None,
-        Effect::Deduplicated { window, .. } => Some(window + KEPT_BEYOND),
-        Effect::Unrepeatable => Some(CLAIM_KEPT),
+        Effect::Deduplicated { window, .. } => Some(window + RETENTION_MARGIN),
+        Effect::Unrepeatable => Some(CLAIM_RETENTION),
     }
 }
 
-/// What a task of this effect may do, given what was found; `waited` is how long the reply took.
-pub fn leave(effect: Effect, found: ClaimOutcome, me: RelayIncarnation, waited: Duration) -> Leave {
-    let (mark, remaining) = match found {
-        ClaimOutcome::Claimed => return Leave::Free,
-        ClaimOutcome::NotSent | ClaimOutcome::Unknown => return Leave::Alone,
+/// What a task with this effect may do after the given outcome; `waited` is how long the reply took.
+pub fn permission(
+    effect: Effect,
+    outcome: ClaimOutcome,
+    own: RelayIncarnation,
+    waited: Duration,
+) -> Permission {
+    let (mark, remaining) = match outcome {
+        ClaimOutcome::Claimed => return Permission::Send,
+        ClaimOutcome::NotSent | ClaimOutcome::Unknown => return Permission::LocalRules,
         ClaimOutcome::AlreadyMarked { mark, remaining } => (mark, remaining),
     };
     match (effect, mark.unit) {
-        (Effect::Idempotent, _) => Leave::Alone,
-        (Effect::Unrepeatable, _) => Leave::Never,
-        // This very run marked it and has not sent it: its own memory knows better.
-        (Effect::Deduplicated { .. }, None) if mark.owner == me => Leave::Alone,
-        // Somebody was about to send it, to a place that is not known.
-        (Effect::Deduplicated { .. }, None) => Leave::Never,
+        (Effect::Idempotent, _) => Permission::LocalRules,
+        (Effect::Unrepeatable, _) => Permission::Never,
+        // This incarnation set the mark and has not sent the task: its own state is more accurate.
+        (Effect::Deduplicated { .. }, None) if mark.owner == own => Permission::LocalRules,
+        // Another relay was about to send it to an unknown unit.
+        (Effect::Deduplicated { .. }, None) => Permission::Never,
         (Effect::Deduplicated { window, .. }, Some(unit)) => {
-            // By the store's clock alone, which both sides of the difference come from, and at its oldest.
-            let age = (window + KEPT_BEYOND).saturating_sub(remaining) + waited;
+            // An upper bound; both times of the difference come from the store's clock.
+            let age = (window + RETENTION_MARGIN).saturating_sub(remaining) + waited;
             match age < window {
-                true => Leave::Repeat { unit, age },
-                false => Leave::Never,
+                true => Permission::Repeat { unit, age },
+                false => Permission::Never,
             }
         }
     }
 }
 
-/// A command as far as its repetition goes.
+/// The commands to the store, as far as their repetition is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Adds to a count.
     Count,
-    /// Writes a gift under its number.
-    Gift,
-    Wish,
-    /// Sets a mark and tells the one before.
+    /// Writes a transfer under its sequence number.
+    Transfer,
+    /// Writes a request for a transfer.
+    TransferRequest,
+    /// Sets a mark and returns the previous one.
     Claim,
-    /// Says where a marked task was sent.
+    /// Writes where a marked task was sent.
     Sent,
     Read,
     Probe,
 }
 
 impl Command {
-    /// Whether it may be sent again where its reply is unknown. A claim may not: its second reply tells of its first. A
-    /// count may not: it would count twice, which is careful, but grows without a bound while a store answers nothing.
+    /// Whether the command may be sent again if its reply is unknown. A claim may not, as its second reply would report the
+    /// first one. A count may not, as it would count twice: that is on the safe side, but grows without bound while a store
+    /// does not reply.
     pub fn may_repeat(self) -> bool {
         match self {
-            Command::Gift | Command::Wish | Command::Sent | Command::Read | Command::Probe => true,
+            Command::Transfer
+            | Command::TransferRequest
+            | Command::Sent
+            | Command::Read
+            | Command::Probe => true,
             Command::Claim | Command::Count => false,
         }
     }
