--- a/src/decide.rs
+++ b/src/decide.rs
@@ -17,8 +17,8 @@
 use crate::histogram::{excess_over_median, Histogram, Tally, Window};
 use crate::state::*;
 use crate::*;
+use beechcroft_fleet::call_schedule::CallTracker;
 use beechcroft_fleet::subset;
-use beechcroft_fleet::turns::Voice;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
@@ -137,7 +137,7 @@
     exposure: Exposure,
     detector: Detector,
     peers: Peers,
-    ballot: Voice<Vote>,
+    ballot: CallTracker<Vote>,
     ticks: u64,
 }
 
@@ -160,7 +160,7 @@
             exposure: Exposure::default(),
             detector: Detector::new(settings.tracks.len(), now),
             peers: Peers::default(),
-            ballot: Voice::default(),
+            ballot: CallTracker::default(),
             ticks: 0,
         }
     }
@@ -250,10 +250,12 @@
             .into_iter()
             .filter(|(number, ..)| *number == dispatch)
         {
-            self.fleet.units[at]
-                .reported_load
-                .tells(held, self.now, self.meter.usual_load.value());
-            self.meter.usual_load.tells(held);
+            self.fleet.units[at].reported_load.record(
+                held,
+                self.now,
+                self.meter.usual_load.value(),
+            );
+            self.meter.usual_load.record(held);
         }
     }
 
--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -81,7 +81,7 @@
         // Departure: of each build, the relay uses only as many units as its tasks keep connections to.
         let trial_part = (new / total.max(new)).clamp(0.0, 1.0);
         let width = |part: f64| {
-            subset::width(
+            subset::subset_size(
                 self.meter.arrival_rate.per_s() * part,
                 self.params.keep_idle_for,
             )
@@ -113,7 +113,7 @@
                 0.0
             };
             let reported = if uses_subset {
-                unit.reported_load.now(self.now, usual)
+                unit.reported_load.at(self.now, usual)
             } else {
                 0.0
             };
@@ -136,14 +136,14 @@
 
     /// Ranks the ready units of either side in the order in which this relay uses them.
     pub(super) fn rank_units(&mut self) {
-        let width = subset::width(self.meter.arrival_rate.per_s(), self.params.keep_idle_for);
+        let width = subset::subset_size(self.meter.arrival_rate.per_s(), self.params.keep_idle_for);
         for on_trial in [false, true] {
             let belongs =
                 |unit: &Unit| unit.ready && self.exposure_cap(unit.build).is_some() == on_trial;
             let units = &self.fleet.units;
             let slots: Vec<usize> = (0..units.len()).filter(|&at| belongs(&units[at])).collect();
             let short_ids: Vec<u32> = slots.iter().map(|&at| units[at].short_id).collect();
-            for (rank, nth) in subset::order(self.params.own_id.0, &short_ids)
+            for (rank, nth) in subset::rank_units(self.params.own_id.0, &short_ids)
                 .into_iter()
                 .enumerate()
             {
--- a/src/decide/judge.rs
+++ b/src/decide/judge.rs
@@ -193,7 +193,7 @@
         if (last.build, last.stage) != (build, stage) {
             self.detector.start_stage(self.now);
         }
-        self.ballot.forget();
+        self.ballot.reset();
         if self.params.is_judge {
             actions.log(&format!(
                 "build {} stage {} {phase:?} cap {cap}",
--- a/src/decide/vote.rs
+++ b/src/decide/vote.rs
@@ -35,7 +35,8 @@
             // Departure: where a round of votes takes long, relays whose votes alone do not move the build vote
             // before the evidence is complete.
             GateMode::VoteCount
-                if can_advance || self.params.turns.is_early() && self.is_free_of_alarms(fused) =>
+                if can_advance
+                    || self.params.turns.may_call_early() && self.is_free_of_alarms(fused) =>
             {
                 Vote::On
             }
@@ -121,13 +122,13 @@
         };
         let wished = self
             .ballot
-            .wishes(Some(vote).filter(|&vote| vote != Vote::Nothing), self.now);
+            .set_desired(Some(vote).filter(|&vote| vote != Vote::Nothing), self.now);
         let (turns, ttl) = (&self.params.turns, self.params.vote_ttl);
-        let settled = self.ballot.settles(settled, self.now, ttl);
+        let settled = self.ballot.note_settled(settled, self.now, ttl);
         let turn = match vote {
-            Vote::Back => turns.in_haste(wished),
-            Vote::Nothing => turns.back(wished),
-            _ => turns.forward(
+            Vote::Back => turns.urgent_slot(wished),
+            Vote::Nothing => turns.withdrawal_slot(wished),
+            _ => turns.advance_slot(
                 self.detector.stage_started_at,
                 rollout.stage.0 > 0,
                 settled,
@@ -138,20 +139,24 @@
         let renew = if ahead_of_evidence {
             Duration::MAX
         } else {
-            turns.renew(ttl, VOTE_RENEWAL_SHARE)
+            turns.renewal_interval(ttl, VOTE_RENEWAL_SHARE)
         };
         let wait = self.params.vote_timeout + TICK;
         if self.params.own_id.0 >= voters
-            || !self
-                .ballot
-                .is_due(turn, self.now, wait, turns.gap(voters, TICK * 2), renew)
+            || !self.ballot.is_due(
+                turn,
+                self.now,
+                wait,
+                turns.min_interval(voters, TICK * 2),
+                renew,
+            )
         {
             return;
         }
-        if self.ballot.said().unwrap_or(Vote::Nothing) != vote && self.params.is_judge {
+        if self.ballot.last_call().unwrap_or(Vote::Nothing) != vote && self.params.is_judge {
             actions.log(&self.detector.log_line(rollout, vote, fused, self.max_sum()));
         }
-        self.ballot.calls(self.now);
+        self.ballot.record_sent(self.now);
         actions.vote(rollout.build, rollout.stage, vote);
     }
 
@@ -164,12 +169,14 @@
     pub fn vote_answered(&mut self, outcome: Outcome) {
         let draw = self.rng.random();
         match outcome {
-            Outcome::Ok => self.ballot.taken(),
+            Outcome::Ok => self.ballot.record_accepted(),
             // The build has moved on, so the vote is not cast again before the platform says where it stands.
-            Outcome::Moot => self.ballot.refused(self.now, |_| self.params.vote_ttl),
+            Outcome::Moot => self
+                .ballot
+                .record_rejected(self.now, |_| self.params.vote_ttl),
             _ => self
                 .ballot
-                .refused(self.now, |times| self.params.turns.again(times, draw)),
+                .record_rejected(self.now, |times| self.params.turns.retry_delay(times, draw)),
         }
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -5,9 +5,9 @@
 use crate::cusum::Cusum;
 use crate::histogram::{Histogram, Tally, Window};
 use crate::*;
-use beechcroft_fleet::held::{Held, Usual};
-use beechcroft_fleet::subset::{Rate, KEPT_PART};
-use beechcroft_fleet::turns::Turns;
+use beechcroft_fleet::call_schedule::CallSchedule;
+use beechcroft_fleet::load::{LoadEstimate, TypicalLoad};
+use beechcroft_fleet::subset::{TaskRate, IDLE_KEEP_FRACTION};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -81,7 +81,7 @@
     /// How long a vote stands.
     pub vote_ttl: Duration,
     /// This relay's turns for votes to the platform.
-    pub turns: Turns,
+    pub turns: CallSchedule,
     /// How long the platform's answer to a vote is awaited.
     pub vote_timeout: Duration,
     /// The share of wrong answers that clients report.
@@ -194,7 +194,7 @@
     /// Whether it belongs to the subset that this relay uses.
     pub in_subset: bool,
     /// The number of tasks it holds, from its own load reports.
-    pub reported_load: Held,
+    pub reported_load: LoadEstimate,
 }
 
 /// One open task.
@@ -348,9 +348,9 @@
     /// Tasks received in the current tick.
     pub arrivals: f64,
     /// Tasks received per second.
-    pub arrival_rate: Rate,
+    pub arrival_rate: TaskRate,
     /// Tasks that units usually hold, from their load reports.
-    pub usual_load: Usual,
+    pub usual_load: TypicalLoad,
     /// Mean quoted time, in seconds.
     pub mean_quoted_s: f64,
     /// Work that a warm unit of size 1 was seen to do for this relay, and in how many seconds.
@@ -407,7 +407,7 @@
             exposure_by_track: settings.exposure_by_track,
             forward_only: settings.forward_only,
             vote_ttl: settings.vote_ttl,
-            turns: Turns::new(
+            turns: CallSchedule::new(
                 settings.own_id.0,
                 settings.relays,
                 settings.votes_per_s,
@@ -416,7 +416,7 @@
             vote_timeout: settings.vote_timeout,
             complaint_share: settings.complaint_share,
             delay_price: settings.delay_price,
-            keep_idle_for: settings.idle_close.mul_f64(KEPT_PART),
+            keep_idle_for: settings.idle_close.mul_f64(IDLE_KEEP_FRACTION),
         }
     }
 
