--- a/crates/beechcroft-connections/src/lib.rs
+++ b/crates/beechcroft-connections/src/lib.rs
@@ -1,7 +1,7 @@
 //! The state of clients' connections: which ones wait, are read, are rejected or are closed.
 //!
-//! The package does no I/O: time and events come in, actions go out. An idle connection costs one slot and no timer of its
-//! own; one timing wheel serves all timeouts. `docs/design/connections.md` gives the reasons.
+//! The package does no I/O: time and events come in, actions go out. An idle connection costs one slot and no timer of
+//! its own; one timing wheel serves all timeouts. `docs/design/connections.md` gives the reasons.
 //!
 //! The caller is the relay's socket layer. It keeps the sockets by [`Id`], reports [`Event`]s and carries out
 //! [`Actions`]. The id of a closed connection is never used again, so a late event for it has no effect.
@@ -19,10 +19,11 @@
     pub struct Id;
 }
 
-/// All timeouts are rounded up to this: coarse enough for a single timer, fine compared to the shortest timeout, 0.15 s.
+/// All timeouts are rounded up to this: coarse enough for a single timer, and fine compared to the shortest timeout of
+/// 0.15 s.
 pub const TICK: Duration = Duration::from_millis(50);
-/// The most connections that one call closes; [`ConnectionTable::has_pending_work`] tells whether others are due. Closing
-/// one takes about 10 µs, so tasks are delayed by 2 ms at most.
+/// The most connections that one call closes; [`ConnectionTable::has_pending_work`] tells whether others are due.
+/// Closing one takes about 10 µs, so tasks are delayed by 2 ms at most.
 pub const CLOSE_BATCH: usize = 128;
 /// Estimated user memory of a parked connection in bytes: its slot here, its socket's entry at the caller, and the
 /// allocator's overhead. The lab measures it (`docs/results/connections.md`).
@@ -35,7 +36,7 @@
 /// Limits that apply to all connections. Timeouts count from the event that they refer to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Whether a connection is parked between tasks. If not, its server keeps it from opening to closing.
+    /// Whether a connection is parked between tasks. If not, the code that serves it keeps it from opening to closing.
     pub park: bool,
     /// Maximum number of open connections.
     pub max_open: usize,
@@ -88,7 +89,7 @@
 pub enum State {
     /// Open, and nothing has arrived yet.
     Fresh,
-    /// Waits for the next request, without a server.
+    /// Waits for the next request, and is not being served.
     Parked,
     /// Has a request and is queued to be read.
     Waking,
@@ -120,7 +121,7 @@
     HeadStarted(Id),
     /// The head is complete: from here on a task is in progress.
     HeadRead(Id),
-    /// The response is complete, and the server keeps the connection.
+    /// The response is complete, and the connection stays with the code that serves it.
     Answered(Id),
     /// The response is complete, nothing was read beyond the request, and the connection is given back to be parked.
     Returned(Id),
@@ -191,7 +192,7 @@
     links: [Links; 2],
 }
 
-/// How many connections are in each state.
+/// How many connections are in each state; the fields are named after the states and the serving phases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StateCounts {
     pub fresh: usize,
@@ -315,8 +316,8 @@
         (now >= self.slots[first].since + self.limits.evict_after).then_some(first)
     }
 
-    /// Adds a connection that was opened. The caller keeps its socket by the id, and reports [`Event::Readable`] if data
-    /// has arrived. `None` if there is no capacity; the caller should then not accept any connections.
+    /// Adds a connection that was opened. The caller keeps its socket by the id, and reports [`Event::Readable`] if
+    /// data has arrived. `None` if there is no capacity; the caller should then not accept any connections.
     pub fn open(&mut self, now: Duration, actions: &mut impl Actions) -> Option<Id> {
         while self.counts.open() >= self.limits.max_open {
             let evictable = self.evictable(now)?;
@@ -483,7 +484,7 @@
         }
     }
 
-    /// The server of a connection reads a head, or is about to.
+    /// The code that serves a connection reads a head, or is about to.
     fn start_head(&mut self, now: Duration, id: Id) {
         let head_deadline = self.head_deadline(now, id);
         self.set_state(now, id, State::Active(ServingPhase::Head));
@@ -629,8 +630,8 @@
         self.due_buffer = due;
     }
 
-    /// Closes overdue connections at a limited rate that still closes all of them in time: with `n` overdue it is at least
-    /// `n / max_close_delay`, and it does not fall while any are left.
+    /// Closes overdue connections at a limited rate that still closes all of them in time: with `n` overdue it is at
+    /// least `n / max_close_delay`, and it does not fall while any are left.
     fn close_overdue(&mut self, now: Duration, actions: &mut impl Actions) {
         if self.overdue.len() == 0 {
             (self.close_tokens, self.expiry_rate) = (0.0, 0.0);
--- a/crates/beechcroft-connections/src/list.rs
+++ b/crates/beechcroft-connections/src/list.rs
@@ -1,5 +1,5 @@
-//! Doubly linked lists of connections. The links lie in the connections' slots, so that adding and removing a connection
-//! costs a few writes, and an empty list costs no memory.
+//! Doubly linked lists of connections. The links lie in the connections' slots, so that adding and removing a
+//! connection costs a few writes, and an empty list costs no memory.
 
 use crate::{Id, Slot};
 use slotmap::SlotMap;
--- a/crates/beechcroft-connections/src/wheel.rs
+++ b/crates/beechcroft-connections/src/wheel.rs
@@ -1,6 +1,6 @@
-//! A hashed timing wheel for all timeouts of connections. A connection lies in the bucket of the tick at which it is due.
-//! If that tick is a later revolution's, the wheel skips the connection once a revolution, which is cheaper than a timer
-//! for each connection that waits for hours.
+//! A hashed timing wheel for all timeouts of connections. A connection lies in the bucket of the tick at which it is
+//! due. If that tick is a later revolution's, the wheel skips the connection once a revolution, which is cheaper than a
+//! timer for each connection that waits for hours.
 
 use crate::list::List;
 use crate::{Id, Slot, TICK};
--- a/crates/beechcroft-fleet/src/call_schedule.rs
+++ b/crates/beechcroft-fleet/src/call_schedule.rs
@@ -1,23 +1,23 @@
 //! Paces the calls of all relays to a service with a shared rate limit; the root library uses it for votes to the
 //! platform.
 //!
-//! All relays want to make the same call within about a second of each other. If all called at once, most calls would be
-//! rejected, and if the rejected relays all waited for a full round, the quorum would never be reached. Each relay
-//! therefore calls in a time slot given by its number, and those that are rejected retry after a random delay whose upper
-//! bound grows with each rejection.
+//! All relays want to make the same call within about a second of each other. If all called at once, most calls would
+//! be rejected, and if the rejected relays all waited for a full round, the quorum would never be reached. Each relay
+//! therefore calls in a time slot given by its number, and those that are rejected retry after a random delay whose
+//! upper bound grows with each rejection.
 //!
-//! A *round* is one call by every relay at the service's rate. A *decision* is what the calls are about; it is *settled*
-//! once a relay has the evidence to call for it. [`CallSchedule`] computes when a relay may call, [`CallTracker`] keeps
-//! what it called for last and whether another call is due.
+//! A *round* is one call by every relay at the service's rate. A *decision* is what the calls are about; it is
+//! *settled* once a relay has the evidence to call for it. [`CallSchedule`] computes when a relay may call,
+//! [`CallTracker`] keeps what it called for last and whether another call is due.
 
 use std::time::Duration;
 
 /// The service's burst allowance, in seconds of calls at its rate, that this schedule uses; the service allows twice as
 /// much after a pause, and the other half is left to other callers.
 const BURST_S: f64 = 1.0;
-/// Speed of a round relative to the service's rate. Slightly above 1, it uses what is left of the burst allowance, so that
-/// relays that learn of a decision late still find capacity. With 164 votes at 16 a second the last vote stands after
-/// 8.7 s; at 1.0 it stood after 9.9 s, and 8.3 s is the minimum.
+/// Speed of a round relative to the service's rate. Slightly above 1, it uses what is left of the burst allowance, so
+/// that relays that learn of a decision late still find capacity. With 164 votes at 16 a second the last vote stands
+/// after 8.7 s; at 1.0 it stood after 9.9 s, and 8.3 s is the minimum.
 const ROUND_SPEED: f64 = 1.1;
 /// Speed of an urgent round relative to the service's rate: some relays whose slot it is may be dead, and a rejection
 /// costs no more than the call.
@@ -105,9 +105,9 @@
         Duration::from_secs_f64(if is_tight { BURST_REFILL_S } else { 0.0 })
     }
 
-    /// This relay's slot for a call that stands for `lifetime`. The round began at `began`, directly after another one if
-    /// `follows_round`; the decision is settled since `settled`, or not yet. If it is settled only after the round's first
-    /// calls have expired, a new round begins then, and calls made before are repeated.
+    /// This relay's slot for a call that stands for `lifetime`. The round began at `began`, directly after another one
+    /// if `follows_round`; the decision is settled since `settled`, or not yet. If it is settled only after the round's
+    /// first calls have expired, a new round begins then, and calls made before are repeated.
     pub fn advance_slot(
         &self,
         began: Duration,
@@ -195,8 +195,8 @@
         max.mul_f64(jitter.clamp(0.0, 1.0))
     }
 
-    /// The interval after which a call that stands for `lifetime` is renewed: `fraction` of the lifetime, but no less than
-    /// a round. If a round takes longer than the lifetime, a quorum of calls stands only at the end of each round.
+    /// The interval after which a call that stands for `lifetime` is renewed: `fraction` of the lifetime, but no less
+    /// than a round. If a round takes longer than the lifetime, a quorum of calls stands only at the end of each round.
     pub fn renewal_interval(&self, lifetime: Duration, fraction: f64) -> Duration {
         if self.is_small() {
             return lifetime.mul_f64(fraction);
@@ -266,8 +266,8 @@
 }
 
 impl<W: Copy + PartialEq> CallTracker<W> {
-    /// Starts over for another decision, to which earlier calls do not apply. The time of the last call is kept, so that
-    /// the minimum interval between calls holds.
+    /// Starts over for another decision, to which earlier calls do not apply. The time of the last call is kept, so
+    /// that the minimum interval between calls holds.
     pub fn reset(&mut self) {
         *self = CallTracker {
             called_at: self.called_at,
--- a/crates/beechcroft-fleet/src/subset.rs
+++ b/crates/beechcroft-fleet/src/subset.rs
@@ -1,11 +1,11 @@
 //! Chooses the subset of units that a relay sends its tasks to.
 //!
 //! If hundreds of relays each spread a few tasks a second over hundreds of units, each relay sends to a given unit so
-//! rarely that nearly every task opens a connection, and the relay learns nothing about any unit. A relay therefore uses
-//! only as many units as it sends to often enough. The subset is chosen by rendezvous hashing: a unit that joins or leaves
-//! changes one place in the subsets that it belongs to and none in others, and a larger subset begins with the smaller
-//! one. Units then appear in unequal numbers of subsets. As the subsets are scattered, rather than neighbours on a ring,
-//! load reports can even out the resulting load (see [`crate::load`]).
+//! rarely that nearly every task opens a connection, and the relay learns nothing about any unit. A relay therefore
+//! uses only as many units as it sends to often enough. The subset is chosen by rendezvous hashing: a unit that joins
+//! or leaves changes one place in the subsets that it belongs to and none in others, and a larger subset begins with
+//! the smaller one. Units then appear in unequal numbers of subsets. As the subsets are scattered, rather than
+//! neighbours on a ring, load reports can even out the resulting load (see [`crate::load`]).
 
 use std::time::Duration;
 
@@ -23,8 +23,8 @@
     ((per_s * keep_time.as_secs_f64() / TASKS_PER_KEEP_TIME).ceil() as usize).max(MIN_SUBSET_SIZE)
 }
 
-/// The positions in `keys` of all units, ordered by this relay's preference. `keys` are hashes that are the same at every
-/// relay; units with equal keys keep their order.
+/// The positions in `keys` of all units, ordered by this relay's preference. `keys` are hashes that are the same at
+/// every relay; units with equal keys keep their order.
 pub fn rank_units(relay: u32, keys: &[u32]) -> Vec<usize> {
     let mut ranked: Vec<usize> = (0..keys.len()).collect();
     ranked.sort_by_cached_key(|&index| hash_pair(relay, keys[index]));
--- a/crates/beechcroft-fleet/tests/call_schedule.rs
+++ b/crates/beechcroft-fleet/tests/call_schedule.rs
@@ -58,8 +58,9 @@
         }
     }
 
-    /// Runs until enough relays have cast `vote`, or for a minute. Returns when that was, and the platform's state. A stage
-    /// begins at 0; each relay learns so within half a second, and decides to vote up to a second after `settled`.
+    /// Runs until enough relays have cast `vote`, or for a minute. Returns when that was, and the platform's state. A
+    /// stage begins at 0; each relay learns so within half a second, and decides to vote up to a second after
+    /// `settled`.
     fn run_until_quorum(&mut self, vote: Vote, settled: Duration) -> (Option<Duration>, Platform) {
         let count = self.alive.len();
         let mut platform = Platform {
--- a/crates/beechcroft-fleet/tests/subset.rs
+++ b/crates/beechcroft-fleet/tests/subset.rs
@@ -56,9 +56,9 @@
     }
 }
 
-/// The mean number of tasks held by the most loaded tenth of the units over a minute. Relays have uneven traffic, all units
-/// complete the same work a tick, and load reports are half a second late. With `use_reports` a relay sends to the less
-/// loaded of two units, else to a random one.
+/// The mean number of tasks held by the most loaded tenth of the units over a minute. Relays have uneven traffic, all
+/// units complete the same work a tick, and load reports are half a second late. With `use_reports` a relay sends to
+/// the less loaded of two units, else to a random one.
 fn mean_top_decile_load(use_reports: bool, seed: u64) -> f64 {
     const RELAYS: usize = 273;
     const UNITS: usize = 137;
--- a/crates/beechcroft-operator/src/lib.rs
+++ b/crates/beechcroft-operator/src/lib.rs
@@ -1,6 +1,7 @@
-//! The operator's configuration file (TOML): optional subsystems that an installation enables on top of the deployment's
-//! settings. Each subsystem is one table, and is off if its table is absent. Errors name the file, line, table and key.
-//! The relay reads the file at startup; `beechcroft check` and `beechcroft explain` print its values and keys.
+//! The operator's configuration file (TOML): optional subsystems that an installation enables on top of the
+//! deployment's settings. Each subsystem is one table, and is off if its table is absent. Errors name the file, line,
+//! table and key. The relay reads the file at startup; `beechcroft check` and `beechcroft explain` print its values and
+//! keys.
 
 #[macro_use]
 pub mod table;
@@ -63,6 +64,7 @@
 /// An error in the file, and where it is.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigError {
+    /// The file's path, or the name that was given to [`OperatorConfig::parse`].
     pub file: String,
     /// Counted from 1; 0 if the file could not be read at all.
     pub line: usize,
--- a/crates/beechcroft-operator/src/table.rs
+++ b/crates/beechcroft-operator/src/table.rs
@@ -1,5 +1,5 @@
-//! Declares the tables of the operator's file. The `table!` macro lists each key once, with its type, default, range, unit
-//! and description; parsing, defaults, range checks and `beechcroft explain` are generated from that list.
+//! Declares the tables of the operator's file. The `table!` macro lists each key once, with its type, default, range,
+//! unit and description; parsing, defaults, range checks and `beechcroft explain` are generated from that list.
 
 use crate::{ConfigError, Source};
 use serde::de::DeserializeOwned;
@@ -14,6 +14,7 @@
     /// Empty if the value has no unit.
     pub unit: &'static str,
     pub default: String,
+    /// The smallest and the largest valid value.
     pub min: String,
     pub max: String,
     pub description: &'static str,
@@ -55,8 +56,8 @@
     ))
 }
 
-/// Declares a table: doc comment, type, raw type, table name, and for each key its name, type, default, minimum, maximum,
-/// unit and description.
+/// Declares a table: doc comment, type, raw type, table name, and for each key its name, type, default, minimum,
+/// maximum, unit and description.
 #[macro_export]
 macro_rules! table {
     ($(#[$doc:meta])* $name:ident, $raw:ident, $title:literal {
--- a/crates/beechcroft-settings/src/lib.rs
+++ b/crates/beechcroft-settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Parses a deployment's settings from JSON into [`Settings`] of the root library; unknown keys are ignored.
 //!
-//! The adapter receives the settings in the simulator's protocol, the relay has them in its configuration file; both parse
-//! them here.
+//! The adapter receives the settings in the simulator's protocol, the relay has them in its configuration file; both
+//! parse them here.
 
 use beechcroft::{Effect, GateMode, Group, PeerId, Settings, Track, ZoneId};
 use serde_json::Value;
@@ -12,13 +12,14 @@
 /// Default for `limits.dial_timeout_s`, a usual timeout for connections between machines of one site.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The settings, with the names that the wire formats use for tracks, tenants, zones and kinds of machines, in the order
-/// of their numbers.
+/// The settings, with the names that the wire formats use for tracks, tenants, zones and kinds of machines, in the
+/// order of their numbers.
 pub struct NamedSettings {
     pub settings: Settings,
     pub transport: TransportSettings,
     /// Names from `classes`, by `TrackId`.
     pub tracks: Vec<String>,
+    /// Names of the tenants, in the order of their numbers.
     pub tenants: Vec<String>,
     /// Names from `failure_domains`, by `ZoneId`.
     pub zones: Vec<String>,
--- a/crates/beechcroft-shared/src/breaker.rs
+++ b/crates/beechcroft-shared/src/breaker.rs
@@ -1,5 +1,5 @@
-//! A circuit breaker between tasks and the store. A task waits for the store for a small fraction of its quoted time. After
-//! several failed waits no task waits for a while; then a single one probes whether the store is back.
+//! A circuit breaker between tasks and the store. A task waits for the store for a small fraction of its quoted time.
+//! After several failed waits no task waits for a while; then a single one probes whether the store is back.
 
 use std::time::Duration;
 
--- a/crates/beechcroft-shared/src/cold_load.rs
+++ b/crates/beechcroft-shared/src/cold_load.rs
@@ -1,12 +1,12 @@
-//! The load of cold units: relays add up in the store what they have sent to a unit since its start. What other relays sent
-//! recently reduces what this relay may send, and can never increase it.
+//! The load of cold units: relays add up in the store what they have sent to a unit since its start. What other relays
+//! sent recently reduces what this relay may send, and can never increase it.
 
 use crate::escrow::{MilliTasks, UnitStart};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// The shortest interval between reports for one unit: a store with a hundred relays and ten cold units gets 10,000 reports
-/// a second.
+/// The shortest interval between reports for one unit: a store with a hundred relays and ten cold units gets 10,000
+/// reports a second.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of past totals kept for each unit; a second one within the same tenth of the time window replaces the
 /// first.
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Takes the amounts that are to be added in the store now. From here on they count as reported: a lost report is not
-    /// repeated, as one that only seemed lost would count twice.
+    /// Takes the amounts that are to be added in the store now. From here on they count as reported: a lost report is
+    /// not repeated, as one that only seemed lost would count twice.
     pub fn take_due_reports(&mut self, now: Duration) -> Vec<(UnitStart, MilliTasks)> {
         let is_due = |counts: &UnitCounts| {
             counts
--- a/crates/beechcroft-shared/src/escrow.rs
+++ b/crates/beechcroft-shared/src/escrow.rs
@@ -1,6 +1,7 @@
-//! Transfers of budget between relays, by escrow. A relay may transfer a part of its own share of a cold unit's budget to
-//! another relay: it first subtracts the amount from its share, and then writes the transfer to the store. A transfer that
-//! is lost in between is lost to all, so that the sum of what all relays spend never exceeds the sum of their shares.
+//! Transfers of budget between relays, by escrow. A relay may transfer a part of its own share of a cold unit's budget
+//! to another relay: it first subtracts the amount from its share, and then writes the transfer to the store. A
+//! transfer that is lost in between is lost to all, so that the sum of what all relays spend never exceeds the sum of
+//! their shares.
 //!
 //! A transfer names its receiver and has a sequence number, so it counts once, however often it is written, read, or
 //! brought back by a store that reverts to an older state. It belongs to one start of one unit and is valid as long as
@@ -19,6 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct UnitStart {
     pub unit: UnitId,
+    /// When this start took place; another start has another value.
     pub started: Duration,
 }
 
--- a/crates/beechcroft-shared/src/lib.rs
+++ b/crates/beechcroft-shared/src/lib.rs
@@ -1,5 +1,5 @@
-//! State that relays share through a store: the load sent to cold units, transfers of budget between relays, marks of tasks
-//! that may have run, and a circuit breaker that decides whether the store is worth waiting for.
+//! State that relays share through a store: the load sent to cold units, transfers of budget between relays, marks of
+//! tasks that may have run, and a circuit breaker that decides whether the store is worth waiting for.
 //!
 //! The package does no I/O. Nothing here is needed to keep a relay's rules: data from the store can make a relay more
 //! careful, and less careful only by budget that another relay gave up before.
--- a/crates/beechcroft-shared/src/marks.rs
+++ b/crates/beechcroft-shared/src/marks.rs
@@ -1,8 +1,9 @@
-//! Marks in the store that a task may have run, in which group, and for how long that holds. A single command sets a mark
-//! and returns the previous one, so that of two relays at least one finds the other's mark.
+//! Marks in the store that a task may have run, in which group, and for how long that holds. A single command sets a
+//! mark and returns the previous one, so that of two relays at least one finds the other's mark.
 //!
-//! For a deduplicated task a mark that is found restricts it to its group and window; after the window the task is not sent.
-//! For an unrepeatable task the mark is a claim: neither a mark that is found nor a missing reply is a permission to send.
+//! For a deduplicated task a mark that is found restricts it to its group and window; after the window the task is not
+//! sent. For an unrepeatable task the mark is a claim: neither a mark that is found nor a missing reply is a permission
+//! to send.
 
 use crate::RelayIncarnation;
 use beechcroft::{Effect, UnitId};
@@ -45,7 +46,8 @@
     Never,
 }
 
-/// How much longer than a task's window its mark is kept: a mark that expires too early would permit a second execution.
+/// How much longer than a task's window its mark is kept: a mark that expires too early would permit a second
+/// execution.
 pub const RETENTION_MARGIN: Duration = Duration::from_secs(2);
 /// How long the claim of an unrepeatable task is kept: longer than any client repeats a task.
 pub const CLAIM_RETENTION: Duration = Duration::from_secs(600);
@@ -107,9 +109,9 @@
 }
 
 impl Command {
-    /// Whether the command may be sent again if its reply is unknown. A claim may not, as its second reply would report the
-    /// first one. A count may not, as it would count twice: that is on the safe side, but grows without bound while a store
-    /// does not reply.
+    /// Whether the command may be sent again if its reply is unknown. A claim may not, as its second reply would report
+    /// the first one. A count may not, as it would count twice: that is on the safe side, but grows without bound while
+    /// a store does not reply.
     pub fn may_repeat(self) -> bool {
         match self {
             Command::Transfer
--- a/crates/beechcroft-shared/tests/shared.rs
+++ b/crates/beechcroft-shared/tests/shared.rs
@@ -1,4 +1,5 @@
-//! Budget transfers through a store that may lose, repeat, reorder or restore any write; marks of tasks; the circuit breaker.
+//! Budget transfers through a store that may lose, repeat, reorder or restore any write; marks of tasks; the circuit
+//! breaker.
 
 use beechcroft::{Effect, Group, PeerId, UnitId};
 use beechcroft_shared::breaker::{Admission, Breaker, BreakerConfig};
@@ -206,7 +207,8 @@
         let max = 3.0 + (open_periods + 1.0).log2() + now.as_secs_f64() / 8.0 + 1.0;
         prop_assert!(f64::from(waited) <= max, "{waited} of {tasks} tasks waited, at most {max} may");
         prop_assert!(breaker.is_open());
-        // The store is back: the next probe closes the breaker, within 1.25 times the longest open period after the last wait.
+        // The store is back: the next probe closes the breaker, within 1.25 times the longest open period after the
+        // last wait.
         let mut closed_after = Duration::ZERO;
         while breaker.is_open() {
             closed_after += ms(gap);
