--- a/crates/beechcroft-proxy/src/attempt.rs
+++ b/crates/beechcroft-proxy/src/attempt.rs
@@ -1,6 +1,7 @@
-//! One attempt of a request at a unit: a connection, the request out, the response's head and its body.
+//! One attempt to forward a request to one unit: obtains a connection, sends the request, and reads the head and the body
+//! of the response. Called by [`crate::forward`], which decides on retries and hedging.
 
-use crate::shared::{Direction, Shared, PIECE_BYTES};
+use crate::shared::{Direction, Shared, PACED_CHUNK_BYTES};
 use beechcroft_retry::{classify, AttemptOutcome, AttemptResponse, ResponseClass};
 use beechcroft_safeguards::Safeguard;
 use beechcroft_transport::connection::{BodyReader, Connection};
@@ -12,95 +13,108 @@
 use std::time::Duration;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Responses up to this size are buffered until they are complete, so that one that breaks off can be retried. In bytes.
-pub const MAX_BUFFERED_RESPONSE: usize = 64 << 10;
-/// Responses to other requests that are skipped on one connection.
+/// Maximum size of a response body that is buffered completely before it is forwarded, in bytes. A buffered response
+/// that breaks off can still be retried.
+pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 << 10;
+/// Maximum number of responses to other requests that one attempt skips on its connection.
 const MAX_FOREIGN_RESPONSES: usize = 3;
-/// For a connection in this region to be established. A unit without power says nothing.
-const NEAR_CONNECT_TIMEOUT: Duration = Duration::from_millis(80);
-/// For a connection to another region to be established.
-const FAR_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// The share of a unit's connections that all proxies use together.
-const CONNECTIONS_SHARE: f64 = 0.8;
-/// The last chunk of a chunked body.
-const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
+/// Connect timeout within the proxy's region. It must be short, because a unit without power does not even refuse the
+/// connection.
+const SAME_REGION_CONNECT_TIMEOUT: Duration = Duration::from_millis(80);
+/// Connect timeout to another region.
+const CROSS_REGION_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Share of a unit's `maxConns` that all proxies together may use.
+const CONNECTION_LIMIT_SHARE: f64 = 0.8;
+/// Terminates a chunked body.
+const FINAL_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// A unit's response: complete, or its beginning with the rest still to come.
+/// A unit's response, either complete or with a part of its body still to be read.
 pub struct UnitResponse {
-    /// The head.
+    /// The validated status line and headers.
     pub head: ResponseHead,
-    /// The body, as far as it is buffered.
+    /// The buffered part of the body.
     pub body: Vec<u8>,
-    /// The rest of a body that is too large to be buffered.
-    pub rest: Option<ResponseRest>,
+    /// The unread part of a body that is too large to be buffered.
+    pub remaining_body: Option<RemainingBody>,
 }
 
-/// The rest of a response that is too large to be buffered.
-pub struct ResponseRest {
-    /// The connection to the unit.
+/// The unread part of a response body that is too large to be buffered.
+pub struct RemainingBody {
+    /// The connection to the unit, positioned behind the buffered part.
     pub connection: Connection,
-    /// The reader of the body.
-    pub body: BodyReader,
-    /// The connection's slot.
+    /// Decodes the framing of the body.
+    pub reader: BodyReader,
+    /// Returns the connection to the pool once the body is complete.
     pub slot: ConnectionSlot,
 }
 
-/// A connection that counts at its unit until it is kept or closed.
+/// Accounts for one open connection in the unit's connection limit. Dropping it records the connection as closed, unless
+/// the connection was returned to the pool.
 pub struct ConnectionSlot {
     shared: Rc<Shared>,
     unit: Rc<str>,
-    is_kept: bool,
+    is_pooled: bool,
 }
 
 impl ConnectionSlot {
-    /// Keeps the connection if nothing but this response is under way on it. After a HEAD request it is not kept: whether a
-    /// body follows a late response to one cannot be told.
-    pub fn keep(mut self, connection: Connection, request: &RequestHead, response: &ResponseHead) {
-        let ends = response.closes
+    /// Returns the connection to the pool if it stays open and nothing is unread behind this response. After a HEAD request
+    /// the connection is closed: it is unknown whether a late response on it is followed by a body.
+    pub fn release(
+        mut self,
+        connection: Connection,
+        request: &RequestHead,
+        response: &ResponseHead,
+    ) {
+        let is_closing = response.closes
             || response.framing == Some(Framing::UntilClose)
             || forbids_reuse(request);
         let is_clean = connection.is_clean() || !Safeguard::CleanConnections.is_enabled();
-        if !ends && is_clean {
-            self.is_kept = true;
+        if !is_closing && is_clean {
+            self.is_pooled = true;
             let now = self.shared.now();
             let mut pool = self.shared.pool.borrow_mut();
-            pool.keep(now, &self.unit, connection, response.keep_alive_s);
+            pool.put(now, &self.unit, connection, response.keep_alive_s);
         }
     }
 }
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        if !self.is_kept {
+        if !self.is_pooled {
             self.shared.pool.borrow_mut().on_closed(&self.unit);
         }
     }
 }
 
-/// What is sent to a unit.
+/// A request to be sent to one unit.
 pub struct Attempt<'a> {
-    /// The head of the client's request.
+    /// The validated head of the client's request.
     pub request: &'a RequestHead,
-    /// The body, as far as it is buffered.
+    /// The buffered part of the request body.
     pub body: &'a [u8],
-    /// The client's own connection, where more of the body is to come from it.
+    /// The client's connection and the reader of its body, if the body is streamed instead of buffered completely.
     pub streamed_body: Option<(&'a mut Connection, &'a mut BodyReader)>,
-    /// The unit's id.
+    /// Id of the unit, sent in `Beechcroft-Target-Unit`.
     pub unit: Rc<str>,
-    /// The unit's address.
+    /// Address to connect to.
     pub address: SocketAddrV4,
     /// Whether the unit is in this proxy's region.
-    pub is_near: bool,
-    /// Connections to the unit, over all proxies.
+    pub is_same_region: bool,
+    /// Limit of connections to the unit over all proxies.
     pub max_connections: u32,
-    /// Whether the request must not be executed twice.
+    /// Whether the request is not idempotent and must not be executed twice.
     pub is_exclusive: bool,
-    /// By then the response must be complete.
+    /// Time by which the response must be complete.
     pub deadline: Instant,
 }
 
 impl Attempt<'_> {
-    /// Makes the attempt: the unit's response, or how the attempt ended. `load` gets what the unit reports of its load.
+    /// Makes the attempt and returns the unit's response. `load` is set to the load that the unit reports, also when the
+    /// attempt fails.
+    ///
+    /// # Errors
+    ///
+    /// The outcome of an attempt without a response to the request.
     pub async fn make(
         &mut self,
         shared: &Rc<Shared>,
@@ -114,13 +128,13 @@
         let buffered = self
             .buffer_body(shared, &mut connection, &mut body, head.framing)
             .await?;
-        let rest = if body.is_done() {
-            slot.keep(connection, self.request, &head);
+        let remaining_body = if body.is_done() {
+            slot.release(connection, self.request, &head);
             None
         } else {
-            Some(ResponseRest {
+            Some(RemainingBody {
                 connection,
-                body,
+                reader: body,
                 slot,
             })
         };
@@ -129,12 +143,12 @@
             None => Ok(UnitResponse {
                 head,
                 body: buffered,
-                rest,
+                remaining_body,
             }),
         }
     }
 
-    /// A kept connection, or a new one.
+    /// Takes a connection from the pool, or opens one within the connection limit.
     async fn connect(
         &self,
         shared: &Rc<Shared>,
@@ -143,34 +157,34 @@
         let slot = || ConnectionSlot {
             shared: shared.clone(),
             unit: self.unit.clone(),
-            is_kept: false,
+            is_pooled: false,
         };
-        let kept = shared
+        let pooled = shared
             .pool
             .borrow_mut()
-            .take(now, &self.unit, self.is_exclusive);
-        if let Some(connection) = kept {
+            .checkout(now, &self.unit, self.is_exclusive);
+        if let Some(connection) = pooled {
             return Ok((connection, slot()));
         }
-        let all = f64::from(self.max_connections) * CONNECTIONS_SHARE;
-        let limit = (all / shared.proxies.get() as f64) as usize;
+        let all_proxies = f64::from(self.max_connections) * CONNECTION_LIMIT_SHARE;
+        let limit = (all_proxies / shared.proxies.get() as f64) as usize;
         if !shared.pool.borrow_mut().try_open(&self.unit, limit) {
             return Err(AttemptOutcome::NotSent);
         }
         let slot = slot();
-        let within = if self.is_near {
-            NEAR_CONNECT_TIMEOUT
+        let connect_timeout = if self.is_same_region {
+            SAME_REGION_CONNECT_TIMEOUT
         } else {
-            FAR_CONNECT_TIMEOUT
+            CROSS_REGION_CONNECT_TIMEOUT
         };
-        let until = (Instant::now() + within).min(self.deadline);
-        match timeout_at(until, shared.runtime.connect(self.address)).await {
+        let connect_deadline = (Instant::now() + connect_timeout).min(self.deadline);
+        match timeout_at(connect_deadline, shared.runtime.connect(self.address)).await {
             Ok(Ok(stream)) => Ok((Connection::new(stream), slot)),
             _ => Err(AttemptOutcome::NotSent),
         }
     }
 
-    /// The head of the request as it goes to the unit.
+    /// Encodes the head of the request for the unit.
     fn outgoing_head(&self) -> Vec<u8> {
         let RequestHead {
             method,
@@ -179,7 +193,7 @@
             framing,
             ..
         } = self.request;
-        let left_ms = self
+        let remaining_ms = self
             .deadline
             .saturating_duration_since(Instant::now())
             .as_millis();
@@ -189,7 +203,7 @@
         bytes.extend(target.as_bytes());
         bytes.extend(b" HTTP/1.1\r\n");
         bytes.extend(forwarded_headers);
-        bytes.extend(format!("Beechcroft-Time-Budget: {left_ms}\r\n").as_bytes());
+        bytes.extend(format!("Beechcroft-Time-Budget: {remaining_ms}\r\n").as_bytes());
         bytes.extend(format!("Beechcroft-Target-Unit: {}\r\n", self.unit).as_bytes());
         let is_buffered = self.streamed_body.is_none();
         let length = match framing {
@@ -206,7 +220,7 @@
         bytes
     }
 
-    /// Sends the request.
+    /// Sends the head and the body of the request.
     async fn send(&mut self, connection: &mut Connection) -> Result<(), AttemptOutcome> {
         let mut bytes = self.outgoing_head();
         let is_streamed = self.streamed_body.is_some();
@@ -214,7 +228,7 @@
         push_body_part(&mut bytes, self.body, is_chunked);
         let sent = self.send_first_bytes(connection, &bytes).await?;
         let deadline = self.deadline;
-        let rest = async {
+        let send_rest = async {
             let outcome = match Safeguard::PartialSend.is_enabled() {
                 true => AttemptOutcome::Unclear,
                 false => AttemptOutcome::NotSent,
@@ -225,12 +239,13 @@
                 .map_err(|_| outcome)?;
             self.stream_body(connection, is_chunked).await
         };
-        timeout_at(deadline, rest)
+        timeout_at(deadline, send_rest)
             .await
             .map_err(|_| AttemptOutcome::TimedOut)?
     }
 
-    /// Sends as much as goes out at once. If not even the first bytes leave, nothing has been sent.
+    /// Writes as many bytes as the socket accepts at once and returns their number. As long as this fails, no byte has left
+    /// the proxy and the request is safe to retry.
     async fn send_first_bytes(
         &self,
         connection: &Connection,
@@ -251,7 +266,7 @@
         }
     }
 
-    /// Passes on what comes of the body from the client.
+    /// Forwards the body from the client to the unit as it arrives.
     async fn stream_body(
         &mut self,
         connection: &mut Connection,
@@ -275,30 +290,30 @@
         }
         if is_chunked {
             connection
-                .write(LAST_CHUNK)
+                .write(FINAL_CHUNK)
                 .await
                 .map_err(|_| AttemptOutcome::Unclear)?;
         }
         Ok(())
     }
 
-    /// Reads heads until the final one for this request, and skips those for others. With it, the outcome of a request that
-    /// was not executed.
+    /// Reads response heads until the final one for this request. Skips interim responses and a few responses to other
+    /// requests. If the unit states that it did not execute the request, the outcome is returned along with the head.
     async fn read_final_head(
         &self,
         connection: &mut Connection,
     ) -> Result<(ResponseHead, Option<AttemptOutcome>), AttemptOutcome> {
         let attempt_id = self.request.attempt_id.as_deref().unwrap_or_default();
-        let mut foreign = 0;
+        let mut foreign_responses = 0;
         loop {
             let head = self.read_head(connection).await?;
             match classify(attempt_id, &attempt_response(&head)) {
                 ResponseClass::Interim => {}
                 ResponseClass::Foreign => {
-                    foreign += 1;
-                    let has_end =
+                    foreign_responses += 1;
+                    let is_delimited =
                         head.framing != Some(Framing::UntilClose) && !forbids_reuse(self.request);
-                    if foreign > MAX_FOREIGN_RESPONSES || !has_end {
+                    if foreign_responses > MAX_FOREIGN_RESPONSES || !is_delimited {
                         return Err(AttemptOutcome::Unclear);
                     }
                     self.skip_body(connection, head.framing).await?;
@@ -357,7 +372,7 @@
         Ok(())
     }
 
-    /// Buffers the body of a response up to a size.
+    /// Buffers the response body up to a limit that depends on the speed of the link.
     async fn buffer_body(
         &self,
         shared: &Shared,
@@ -367,21 +382,23 @@
     ) -> Result<Vec<u8>, AttemptOutcome> {
         let is_small = matches!(
             framing,
-            Some(Framing::Length(length)) if length <= 2 * PIECE_BYTES as u64
+            Some(Framing::Length(length)) if length <= 2 * PACED_CHUNK_BYTES as u64
         );
-        // Over a thin link, buffering a large response would take as long again as sending it.
-        let is_paced = !is_small && shared.has_thin_link();
+        // On a slow link, reading a large response completely before forwarding it would double its latency.
+        let is_paced = !is_small && shared.has_slow_link();
         let limit = if is_paced {
-            2 * PIECE_BYTES
+            2 * PACED_CHUNK_BYTES
         } else {
-            MAX_BUFFERED_RESPONSE
+            MAX_BUFFERED_RESPONSE_BYTES
         };
         let mut buffered = Vec::new();
         while !body.is_done() && buffered.len() < limit {
             let before = buffered.len();
             self.read_body_part(connection, body, &mut buffered).await?;
             if !is_small {
-                shared.pace(Direction::In, buffered.len() - before).await;
+                shared
+                    .pace(Direction::FromUnits, buffered.len() - before)
+                    .await;
             }
         }
         Ok(buffered)
@@ -398,12 +415,13 @@
     }
 }
 
-/// Whether the connection of a HEAD request is not used again.
+/// Whether the connection must not be reused after this request because its method is HEAD.
 fn forbids_reuse(request: &RequestHead) -> bool {
     request.method == "HEAD" && Safeguard::NoReuseAfterHead.is_enabled()
 }
 
-/// Appends a part of a body as it goes out.
+/// Appends a part of a body to the bytes to send, encoded as a chunk if `is_chunked`. An empty part appends nothing,
+/// because an empty chunk would end the body.
 pub fn push_body_part(out: &mut Vec<u8>, part: &[u8], is_chunked: bool) {
     if part.is_empty() {
         return;
@@ -417,26 +435,34 @@
     }
 }
 
-/// Writes a response to a client, a large one in pieces that are paced. Whether the client took it.
+/// Writes bytes to a client, in paced chunks if they are many and the link is slow. `write_timeout` applies to each write.
+/// Returns whether every write succeeded in time.
 pub async fn write_paced(
     shared: &Shared,
     connection: &mut Connection,
     bytes: &[u8],
-    within: Duration,
+    write_timeout: Duration,
 ) -> bool {
-    if !shared.has_thin_link() || bytes.len() <= 2 * PIECE_BYTES {
-        return write_within(connection, bytes, within).await;
+    if !shared.has_slow_link() || bytes.len() <= 2 * PACED_CHUNK_BYTES {
+        return write_with_timeout(connection, bytes, write_timeout).await;
     }
-    for piece in bytes.chunks(PIECE_BYTES) {
-        shared.pace(Direction::Out, piece.len()).await;
-        if !write_within(connection, piece, within).await {
+    for chunk in bytes.chunks(PACED_CHUNK_BYTES) {
+        shared.pace(Direction::ToClients, chunk.len()).await;
+        if !write_with_timeout(connection, chunk, write_timeout).await {
             return false;
         }
     }
     true
 }
 
-/// Writes bytes to a client. Whether the client took them in time.
-pub async fn write_within(connection: &mut Connection, bytes: &[u8], within: Duration) -> bool {
-    matches!(timeout(within, connection.write(bytes)).await, Ok(Ok(())))
+/// Writes bytes to a client. Returns whether the write succeeded in time.
+pub async fn write_with_timeout(
+    connection: &mut Connection,
+    bytes: &[u8],
+    write_timeout: Duration,
+) -> bool {
+    matches!(
+        timeout(write_timeout, connection.write(bytes)).await,
+        Ok(Ok(()))
+    )
 }
--- a/crates/beechcroft-proxy/src/lib.rs
+++ b/crates/beechcroft-proxy/src/lib.rs
@@ -1,13 +1,14 @@
-//! The data plane: the program of the edge machines.
+//! The data plane: the program that edge machines run.
 //!
-//! A proxy forwards clients' requests to units and judges new versions by them. [`run::run`] puts its parts together:
+//! A proxy forwards clients' requests to units and detects bad versions during rollouts. [`run::run`] assembles it from
+//! these parts:
 //!
-//! - [`client`] serves a client's connection: request after request, each forwarded and answered;
-//! - [`forward`] makes the attempts of one request, and [`attempt`] one of them;
-//! - [`pool`] keeps connections to units;
-//! - [`state_owner`] owns what the proxy is told, behind one queue of commands, and puts what requests use of it into
-//!   [`shared`];
-//! - [`startup`] says when a proxy that starts may serve.
+//! - [`client`] serves a client connection;
+//! - [`forward`] retries and hedges one request, and [`attempt`] makes a single attempt;
+//! - [`pool`] holds persistent connections to units;
+//! - [`state_owner`] owns the state that other nodes send, behind one queue of commands, and publishes what requests need
+//!   in [`shared`];
+//! - [`startup`] decides when a starting proxy may serve.
 
 #![warn(missing_docs)]
 
--- a/crates/beechcroft-proxy/src/main.rs
+++ b/crates/beechcroft-proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of the edge machines: the data plane.
+//! Command line of the data plane.
 
 use beechcroft_config::{ServiceDefaults, Settings};
 use beechcroft_proxy::run::run;
@@ -9,20 +9,20 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// The program of the edge machines: forwards requests to units.
+        /// The data plane of beechcroft: forwards requests to units.
         cmd proxy {
-            /// Runs a proxy; the settings file is named by BEECHCROFT_SETTINGS.
+            /// Runs a proxy with the settings file that BEECHCROFT_SETTINGS names.
             cmd run {
-                /// What is logged: error, warn, info or debug. Each line costs processor time.
+                /// Log level: error, warn, info or debug. Each logged line costs processor time.
                 optional --log level: String
-                /// Units in each region that serve a key, for services whose configuration does not say and which
+                /// Units per region that serve a key, for services without `usualPlaces` in the configuration that
                 /// get no non-idempotent requests.
                 optional --places places: usize
-                /// Detects outliers also among the units of services whose configuration has no rules for that,
-                /// by the types of their routes. The same for every node.
+                /// Detects outliers also among the units of services without outlier rules in the configuration, with
+                /// default rules for the types of their routes. Must be the same on every node.
                 optional --verdicts
             }
-            /// Checks a settings file (.toml) or a configuration (.json); exit code 1 if it has a fault.
+            /// Checks a settings file (.toml) or a configuration (.json); exits with 1 if it is invalid.
             cmd check {
                 required file: PathBuf
             }
@@ -31,7 +31,7 @@
 }
 
 fn main() -> ExitCode {
-    let done = match flags::Proxy::from_env_or_exit().subcommand {
+    let result = match flags::Proxy::from_env_or_exit().subcommand {
         flags::ProxyCmd::Run(run) => {
             let defaults = ServiceDefaults {
                 usual_places: run.places.unwrap_or(0),
@@ -41,10 +41,10 @@
         }
         flags::ProxyCmd::Check(check) => lifecycle::check_file(&check.file),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("proxy: {fault}");
+        Err(error) => {
+            eprintln!("proxy: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/beechcroft-proxy/src/pool.rs
+++ b/crates/beechcroft-proxy/src/pool.rs
@@ -1,50 +1,52 @@
-//! Kept connections to units. A connection comes back only after a complete response with nothing unread behind it, and
-//! is used again only well within the time for which the unit keeps it.
+//! Pool of persistent connections to units, used by [`crate::attempt`].
+//!
+//! A connection is returned to the pool only after a complete response with nothing unread behind it. It is reused only
+//! well within the keep-alive timeout of the unit, so that the unit does not close it while a request is on its way.
 
 use beechcroft_safeguards::Safeguard;
 use beechcroft_transport::connection::Connection;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// For how long a connection is used again where the unit does not say how long it keeps one, in milliseconds.
-const DEFAULT_KEEP_MS: u64 = 4000;
-/// The share of the unit's own time for which a connection is used again.
-const KEEP_SHARE: f64 = 0.7;
+/// How long an idle connection may be reused if the unit advertises no keep-alive timeout, in milliseconds.
+const DEFAULT_REUSE_MS: u64 = 4000;
+/// Share of the unit's advertised keep-alive timeout for which an idle connection may be reused.
+const KEEP_ALIVE_SHARE: f64 = 0.7;
 
-/// An idle connection.
+/// An idle connection and the period for which it may be reused, in milliseconds.
 #[derive(Debug)]
 struct IdleConnection {
     connection: Connection,
-    since: u64,
-    keep_ms: u64,
+    idle_since: u64,
+    reuse_ms: u64,
 }
 
-/// The connections to one unit.
+/// The open connections to one unit.
 #[derive(Debug, Default)]
 struct UnitConnections {
     idle: Vec<IdleConnection>,
-    /// Connections that are open, in use or idle. Invariant: at least as many as are idle.
+    /// Number of open connections, both in use and idle. Invariant: not below the number of idle ones.
     open: usize,
 }
 
-/// The connections to all units.
+/// The open connections to all units, by unit id.
 #[derive(Debug, Default)]
-pub struct Pool(BTreeMap<Rc<str>, UnitConnections>);
+pub struct ConnectionPool(BTreeMap<Rc<str>, UnitConnections>);
 
-impl Pool {
-    /// An idle connection that is alive. `is_exclusive`: the request must not be executed twice, so only connections in the
-    /// first half of their time are used.
-    pub fn take(&mut self, now: u64, unit: &str, is_exclusive: bool) -> Option<Connection> {
+impl ConnectionPool {
+    /// Takes an idle connection that may be reused, and closes those that may not. With `is_exclusive` (the request must
+    /// not be executed twice) only connections in the first half of their reuse period qualify.
+    pub fn checkout(&mut self, now: u64, unit: &str, is_exclusive: bool) -> Option<Connection> {
         let connections = self.0.get_mut(unit)?;
         while let Some(idle) = connections.idle.pop() {
             let IdleConnection {
                 connection,
-                since,
-                keep_ms,
+                idle_since,
+                reuse_ms,
             } = idle;
-            let limit_ms = if is_exclusive { keep_ms / 2 } else { keep_ms };
-            let is_young = now.saturating_sub(since) < limit_ms;
-            if is_young && (connection.is_clean() || !Safeguard::CleanConnections.is_enabled()) {
+            let limit_ms = if is_exclusive { reuse_ms / 2 } else { reuse_ms };
+            let is_recent = now.saturating_sub(idle_since) < limit_ms;
+            if is_recent && (connection.is_clean() || !Safeguard::CleanConnections.is_enabled()) {
                 return Some(connection);
             }
             connections.open -= 1;
@@ -52,7 +54,8 @@
         None
     }
 
-    /// Whether one more connection may be opened where `limit` are allowed. It counts from now on.
+    /// Reserves one more connection if fewer than `limit` are open; at least one is always allowed. Returns whether it was
+    /// reserved.
     pub fn try_open(&mut self, unit: &Rc<str>, limit: usize) -> bool {
         let connections = self.0.entry(unit.clone()).or_default();
         let is_allowed = connections.open < limit.max(1);
@@ -60,7 +63,7 @@
         is_allowed
     }
 
-    /// A connection to the unit has just broken: its idle ones may be broken as well, and are closed.
+    /// Closes the idle connections to a unit. Called after a connection to it failed, since the others may be broken too.
     pub fn close_idle(&mut self, unit: &str) {
         if let Some(connections) = self.0.get_mut(unit) {
             connections.open = connections.open.saturating_sub(connections.idle.len());
@@ -68,15 +71,15 @@
         }
     }
 
-    /// A connection was closed.
+    /// Records that a connection outside the pool was closed.
     pub fn on_closed(&mut self, unit: &str) {
         if let Some(connections) = self.0.get_mut(unit) {
             connections.open = connections.open.saturating_sub(1);
         }
     }
 
-    /// Keeps a connection that may be used again.
-    pub fn keep(
+    /// Returns a reusable connection to the pool. `keep_alive_s` is the timeout that the unit advertised, in seconds.
+    pub fn put(
         &mut self,
         now: u64,
         unit: &str,
@@ -87,23 +90,23 @@
             return;
         };
         connection.release_buffer();
-        let stated_ms = keep_alive_s.map(|s| (s as f64 * 1000.0 * KEEP_SHARE) as u64);
-        let keep_ms = stated_ms.unwrap_or(DEFAULT_KEEP_MS);
+        let advertised_ms = keep_alive_s.map(|s| (s as f64 * 1000.0 * KEEP_ALIVE_SHARE) as u64);
+        let reuse_ms = advertised_ms.unwrap_or(DEFAULT_REUSE_MS);
         connections.idle.push(IdleConnection {
             connection,
-            since: now,
-            keep_ms,
+            idle_since: now,
+            reuse_ms,
         });
     }
 
-    /// Closes connections that have been idle for too long, and those to units that get no more requests.
-    pub fn close_expired(&mut self, now: u64, mut is_used: impl FnMut(&str) -> bool) {
+    /// Closes connections that have been idle for too long, and idle ones to units that no longer receive requests.
+    pub fn close_expired(&mut self, now: u64, mut is_in_use: impl FnMut(&str) -> bool) {
         self.0.retain(|unit, connections| {
-            let is_used = is_used(unit);
+            let is_in_use = is_in_use(unit);
             let before = connections.idle.len();
             connections
                 .idle
-                .retain(|idle| is_used && now.saturating_sub(idle.since) < idle.keep_ms);
+                .retain(|idle| is_in_use && now.saturating_sub(idle.idle_since) < idle.reuse_ms);
             connections.open -= before - connections.idle.len();
             connections.open > 0
         });
--- a/crates/beechcroft-proxy/src/run.rs
+++ b/crates/beechcroft-proxy/src/run.rs
@@ -1,4 +1,4 @@
-//! How the parts of a proxy are put together: servers, state owner, clients; and how it shuts down.
+//! Assembly of a proxy from servers, state owner and client connections, and its shutdown.
 
 use crate::client;
 use crate::shared::{Phase, Shared};
@@ -21,24 +21,29 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// Between two ticks of the state owner.
+/// Interval between ticks of the state owner.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// After SIGTERM, clients may hold an old answer of the directory for so long: two seconds and some.
-const DIRECTORY_LAG: Duration = Duration::from_millis(3500);
-/// What is left of the grace period when new requests are rejected.
+/// Minimum time for which a proxy continues to serve after SIGTERM. Clients may use a cached response of the directory,
+/// which still names this proxy, for a little more than two seconds.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(3500);
+/// New requests are rejected this long before the end of the grace period.
 const CLOSING_MARGIN: Duration = Duration::from_millis(1500);
-/// What is left of the grace period when the process exits with requests in flight.
+/// The process exits this long before the end of the grace period, even with requests in flight.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
-/// Between two looks at a shutdown.
-const SHUTDOWN_INTERVAL: Duration = Duration::from_millis(50);
-/// After its start, a proxy accepts connections once it is ready, or after so long.
+/// Interval at which a shutdown checks whether the requests in flight have ended.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// A starting proxy accepts client connections once it is ready, or after this time if it is not.
 const MAX_ACCEPT_DELAY: Duration = Duration::from_millis(600);
-/// Between two looks at whether it is ready.
-const READY_INTERVAL: Duration = Duration::from_millis(10);
-/// The pause after a failure to accept a connection.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+/// Interval at which a starting proxy checks whether it is ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Pause after a failure to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Runs until it is told to shut down and has done so in order.
+/// Runs a proxy until it is told to shut down and has drained its requests.
+///
+/// # Errors
+///
+/// A socket could not be bound.
 pub async fn run(
     settings: Settings,
     defaults: ServiceDefaults,
@@ -50,8 +55,8 @@
         seeds,
     } = environment;
     let incarnation = runtime.time_of_day().as_millis() as u64;
-    let machine = u64::from(u32::from(settings.ip)) << 20;
-    let salt = incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ machine;
+    let machine_bits = u64::from(u32::from(settings.ip)) << 20;
+    let salt = incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ machine_bits;
     let local = local_member(&settings, incarnation);
     let internal = SocketAddrV4::new(settings.ip, settings.internal_ports[0] + 1);
     let socket = MessageSocket::bind(&runtime, internal)
@@ -113,7 +118,7 @@
     }
 }
 
-/// Starts the servers for readiness checks and for other nodes.
+/// Starts the servers for readiness checks and for calls from other nodes.
 fn spawn_servers(shared: &Rc<Shared>, queue: &CommandQueue, internal: SocketAddrV4) {
     let (runtime, limits) = (shared.runtime.clone(), ServerLimits::default());
     if let Some(address) = shared.settings.listen.readiness {
@@ -126,12 +131,12 @@
     spawn_local(server::serve(runtime, internal, limits, handler));
 }
 
-/// Accepts connections of clients for as long as the process runs.
+/// Accepts client connections until the process exits.
 async fn accept_clients(shared: Rc<Shared>, queue: CommandQueue, mut listener: Listener) {
-    // Until it can serve, a proxy that has just started accepts nothing, for a moment.
-    let latest = Instant::now() + MAX_ACCEPT_DELAY;
-    while shared.phase.get() == Phase::Starting && Instant::now() < latest {
-        sleep(READY_INTERVAL).await;
+    // For a short time, a proxy that cannot serve yet lets new connections wait instead of rejecting their requests.
+    let deadline = Instant::now() + MAX_ACCEPT_DELAY;
+    while shared.phase.get() == Phase::Starting && Instant::now() < deadline {
+        sleep(READY_POLL_INTERVAL).await;
     }
     loop {
         match listener.accept().await {
@@ -143,32 +148,32 @@
                 )));
             }
             Err(e) => {
-                log::warn!("client: Accepting failed: {e}.");
-                sleep(ACCEPT_RETRY).await;
+                log::warn!("client: Cannot accept a connection: {e}.");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// SIGTERM: not ready at once and out of the directory; still served until clients have gone elsewhere; every request
-/// that was read gets its response.
+/// Drains the proxy after SIGTERM. It reports not ready and leaves the directory at once, but serves requests until clients
+/// use other proxies. Returns once no request is in flight, or shortly before the end of the grace period.
 async fn shut_down(shared: Rc<Shared>, queue: CommandQueue, shutdown: impl Future<Output = ()>) {
     shutdown.await;
-    let began = Instant::now();
-    shared.phase.set(Phase::Leaving);
+    let started_at = Instant::now();
+    shared.phase.set(Phase::Draining);
     let _ = queue.send(Command::ShutDown);
     let grace = Duration::from_secs_f64(shared.settings.bounds.grace_s);
-    let earliest = DIRECTORY_LAG.min(grace / 2);
-    let closing = grace.saturating_sub(CLOSING_MARGIN);
-    let latest = grace.saturating_sub(EXIT_MARGIN);
+    let min_drain_time = MIN_DRAIN_TIME.min(grace / 2);
+    let closing_after = grace.saturating_sub(CLOSING_MARGIN);
+    let exit_after = grace.saturating_sub(EXIT_MARGIN);
     loop {
-        sleep(SHUTDOWN_INTERVAL).await;
-        let elapsed = began.elapsed();
-        if elapsed >= closing {
+        sleep(SHUTDOWN_POLL_INTERVAL).await;
+        let elapsed = started_at.elapsed();
+        if elapsed >= closing_after {
             shared.phase.set(Phase::Closing);
         }
-        let is_drained = elapsed >= earliest && shared.in_flight.get() == 0;
-        if elapsed >= latest || is_drained {
+        let is_drained = elapsed >= min_drain_time && shared.in_flight.get() == 0;
+        if elapsed >= exit_after || is_drained {
             return;
         }
     }
@@ -181,19 +186,19 @@
     match shared.phase.get() {
         Phase::Ready => Response::json("{}"),
         Phase::Starting => ErrorKind::NotReady.into(),
-        Phase::Leaving | Phase::Closing => ErrorKind::ShuttingDown.into(),
+        Phase::Draining | Phase::Closing => ErrorKind::ShuttingDown.into(),
     }
 }
 
-/// Other nodes fetch the latest known values of registers.
+/// Handles calls from other nodes, which fetch the latest known values of registers.
 async fn handle_internal(queue: CommandQueue, request: Request) -> Response {
     if request.path != paths::REGISTER {
         return ErrorKind::UnknownCall.into();
     }
     let register = RegisterId::from_body(&request.body);
-    let (value, answer) = oneshot::channel::<Value>();
-    let _ = queue.send(Command::ReadRegister { register, value });
-    match answer
+    let (reply, receiver) = oneshot::channel::<Value>();
+    let _ = queue.send(Command::ReadRegister { register, reply });
+    match receiver
         .await
         .ok()
         .and_then(|value| postcard::to_stdvec(&value).ok())
--- a/crates/beechcroft-proxy/src/shared.rs
+++ b/crates/beechcroft-proxy/src/shared.rs
@@ -1,7 +1,9 @@
-//! What requests use: the routes in force, the load balancer, budgets, detectors, kept connections. It belongs to one
-//! thread, and nothing of it is borrowed across an await.
+//! State that is shared by all requests of a proxy: routing table, load balancer, budgets, detectors, connection pool. The
+//! state owner updates it from what other nodes send.
+//!
+//! It is used by a single thread. No `RefCell` in it may stay borrowed across an await.
 
-use crate::pool::Pool;
+use crate::pool::ConnectionPool;
 use beechcroft_balancer::{CanaryQuota, LinkPacer, LoadBalancer, RetryBudget};
 use beechcroft_config::{ServiceDefaults, Settings};
 use beechcroft_consensus::{OperationsState, Stage};
@@ -17,105 +19,105 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// A link slower than this is thin: a large response at full speed would hold up small ones for a good part of their
-/// latency target. In megabits a second.
-const THIN_LINK_MBPS: f64 = 100.0;
-/// The share of a thin link's rate that large responses get in each direction.
-const THIN_LINK_SHARE: f64 = 0.75;
-/// Bytes a second of a megabit a second.
+/// Links below this rate count as slow, in megabits per second: at full speed, a large response would delay small ones by a
+/// considerable part of their latency target.
+const SLOW_LINK_MBPS: f64 = 100.0;
+/// Share of a slow link's rate that large responses may use in each direction.
+const SLOW_LINK_SHARE: f64 = 0.75;
+/// Conversion from megabits to bytes.
 const BYTES_PER_MEGABIT: f64 = 125_000.0;
-/// Responses larger than twice this are paced in pieces of this size, in bytes.
-pub const PIECE_BYTES: usize = 8 << 10;
-/// A wait shorter than this is not worth it, in microseconds.
-const MIN_PACE_US: u64 = 1000;
-/// The weight of a request in the mean latency of its service.
+/// Chunk size of paced responses, in bytes. Responses of up to two chunks are not paced.
+pub const PACED_CHUNK_BYTES: usize = 8 << 10;
+/// Shorter pacing delays are skipped, in microseconds.
+const MIN_PACING_DELAY_US: u64 = 1000;
+/// Weight of a new sample in the moving average of a service's latency.
 const LATENCY_WEIGHT: f64 = 0.02;
-/// Proxies that retry budgets are divided by, at least.
+/// Minimum number of proxies among which retry budgets are divided.
 const MIN_BUDGET_PROXIES: usize = 4;
-/// The proxy's clock starts here, so that ages before its start stay above 0. In milliseconds.
+/// Initial value of the proxy's clock, so that times before the start of the process stay above 0, in milliseconds.
 const CLOCK_START_MS: u64 = 10_000;
 
-/// The phase of a proxy's life.
+/// Lifecycle phase of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It has no configuration or knows no endpoints yet.
+    /// The proxy has no confirmed configuration or knows no endpoints yet.
     Starting,
-    /// It serves.
+    /// The proxy serves requests.
     Ready,
-    /// SIGTERM has come; requests are still served.
-    Leaving,
-    /// The end is near: new requests are rejected.
+    /// SIGTERM was received; requests are still served.
+    Draining,
+    /// The grace period is about to end; new requests are rejected.
     Closing,
 }
 
-/// The direction of bytes on the proxy's link.
+/// Direction of response bytes on the proxy's link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From units.
-    In,
-    /// To clients.
-    Out,
+    /// Received from units.
+    FromUnits,
+    /// Sent to clients.
+    ToClients,
 }
 
-/// The pacers of a thin link.
+/// Pacers for the two directions of a slow link.
 struct LinkPacers {
-    incoming: RefCell<LinkPacer>,
-    outgoing: RefCell<LinkPacer>,
+    from_units: RefCell<LinkPacer>,
+    to_clients: RefCell<LinkPacer>,
 }
 
 impl LinkPacers {
-    /// The pacers, if the link is thin.
+    /// Pacers for a link of this rate, or `None` if it is unknown or not slow.
     fn for_link(mbps: f64) -> Option<LinkPacers> {
-        let pacer = || RefCell::new(LinkPacer::new(mbps * BYTES_PER_MEGABIT * THIN_LINK_SHARE));
-        let is_thin = mbps > 0.0 && mbps < THIN_LINK_MBPS;
-        is_thin.then(|| LinkPacers {
-            incoming: pacer(),
-            outgoing: pacer(),
+        let pacer = || RefCell::new(LinkPacer::new(mbps * BYTES_PER_MEGABIT * SLOW_LINK_SHARE));
+        let is_slow = mbps > 0.0 && mbps < SLOW_LINK_MBPS;
+        is_slow.then(|| LinkPacers {
+            from_units: pacer(),
+            to_clients: pacer(),
         })
     }
 }
 
-/// What requests use.
+/// State that is shared by all requests of a proxy.
 pub struct Shared {
-    /// The process's settings.
+    /// Settings of the process.
     pub settings: Settings,
     started_at: Instant,
-    /// Sockets and clocks.
+    /// Sockets and clocks, real or simulated.
     pub runtime: Runtime,
-    /// What services get where the configuration does not say.
+    /// Defaults for services that the configuration leaves open.
     pub defaults: ServiceDefaults,
     pacers: Option<LinkPacers>,
-    /// The phase of the proxy's life.
+    /// Lifecycle phase of the proxy.
     pub phase: Cell<Phase>,
-    /// The routes in force.
+    /// Routing table of the current configuration; `None` before the first one.
     pub routes: RefCell<Option<Rc<RoutingTable>>>,
-    /// Rollouts, evacuations, base versions and placements.
+    /// Latest known rollouts, evacuations, base versions and placements.
     pub operations: RefCell<OperationsState>,
-    /// The endpoints.
+    /// Chooses endpoints and tracks their load.
     pub balancer: RefCell<LoadBalancer>,
-    /// Kept connections to units.
-    pub pool: RefCell<Pool>,
+    /// Persistent connections to units.
+    pub pool: RefCell<ConnectionPool>,
     retry_budgets: RefCell<BTreeMap<String, RetryBudget>>,
     canary_quotas: RefCell<BTreeMap<String, CanaryQuota>>,
-    /// The detectors of bad versions, by service.
+    /// Detectors of bad versions, by service.
     pub canary_detectors: RefCell<BTreeMap<String, CanaryDetector>>,
-    /// The detectors of hot keys, of services that serve keys at few endpoints.
+    /// Hot-key detectors, by service, for services that serve each key on a few endpoints.
     pub hot_keys: RefCell<BTreeMap<String, HotKeyDetector>>,
-    /// What was counted of endpoints in this period, of services with outlier rules.
+    /// Outcomes of attempts in the current period, by service and endpoint, for services with outlier rules.
     pub outcome_counts: RefCell<BTreeMap<String, BTreeMap<Rc<str>, OutcomeCounts>>>,
-    /// When the control nodes last showed that they agree.
+    /// Time of the latest quorum read by the control nodes that this proxy knows of.
     pub quorum_read_at: Cell<Option<u64>>,
-    /// The placements, by service.
+    /// Current and recent placements, by service.
     pub placements: RefCell<BTreeMap<String, PlacementHistory>>,
     latencies_ms: RefCell<BTreeMap<String, f64>>,
-    /// Live proxies, this one among them.
+    /// Number of live proxies, including this one.
     pub proxies: Cell<usize>,
-    /// Requests that are being served.
+    /// Number of requests in flight.
     pub in_flight: Cell<usize>,
 }
 
 impl Shared {
-    /// What requests use before anything is known. `salt` is drawn by each process.
+    /// State of a proxy that has just started. `salt` seeds the random choices and differs between processes.
     pub fn new(
         settings: Settings,
         defaults: ServiceDefaults,
@@ -148,31 +150,31 @@
         }
     }
 
-    /// Milliseconds of the proxy's steady clock.
+    /// Current time of the proxy's monotonic clock, in milliseconds.
     pub fn now(&self) -> u64 {
         self.started_at.elapsed().as_millis() as u64 + CLOCK_START_MS
     }
 
-    /// Waits for the turn of a piece of a large response.
+    /// Delays a chunk of a large response as the rate of a slow link requires.
     pub async fn pace(&self, direction: Direction, bytes: usize) {
         let Some(pacers) = &self.pacers else { return };
         let pacer = match direction {
-            Direction::In => &pacers.incoming,
-            Direction::Out => &pacers.outgoing,
+            Direction::FromUnits => &pacers.from_units,
+            Direction::ToClients => &pacers.to_clients,
         };
         let now_us = self.started_at.elapsed().as_micros() as u64;
         let wait_us = pacer.borrow_mut().reserve_us(now_us, bytes);
-        if wait_us > MIN_PACE_US {
+        if wait_us > MIN_PACING_DELAY_US {
             sleep(Duration::from_micros(wait_us)).await;
         }
     }
 
-    /// Whether large responses are paced.
-    pub fn has_thin_link(&self) -> bool {
+    /// Whether the link is slow, so that large responses are paced.
+    pub fn has_slow_link(&self) -> bool {
         self.pacers.is_some()
     }
 
-    /// A request took so long at a unit of a service.
+    /// Adds a sample to the moving average of a service's latency.
     pub fn record_latency(&self, service: &str, latency: Duration) {
         let ms = latency.as_secs_f64() * 1000.0;
         let mut latencies = self.latencies_ms.borrow_mut();
@@ -182,12 +184,12 @@
         }
     }
 
-    /// The mean latency of a service, if any request was made to it.
+    /// Moving average of a service's latency in milliseconds, or `None` before the first sample.
     pub fn mean_latency_ms(&self, service: &str) -> Option<f64> {
         self.latencies_ms.borrow().get(service).copied()
     }
 
-    /// Uses the canary quota of a service.
+    /// Calls `use_quota` with the canary quota of a service, which is created on first use.
     pub fn with_canary_quota<T>(
         &self,
         service: &str,
@@ -204,13 +206,13 @@
         use_quota(quotas.get_mut(service).expect("inserted above"))
     }
 
-    /// Takes a retry from the budget of a service, if there is one.
+    /// Takes a retry from the budget of a service. Returns whether one was available.
     pub fn try_retry(&self, service: &str) -> bool {
         let mut budgets = self.retry_budgets.borrow_mut();
         budgets.get_mut(service).is_some_and(RetryBudget::try_take)
     }
 
-    /// Counts a request for the budget of its service.
+    /// Counts a request towards the retry budget of its service.
     pub fn record_request(&self, service: &str) {
         let bounds = &self.settings.bounds;
         let mut budgets = self.retry_budgets.borrow_mut();
@@ -225,7 +227,7 @@
             .record_request();
     }
 
-    /// The stage that a service's rollout is in, if one is under way.
+    /// Stage of the rollout of a service, if one is in progress.
     pub fn rollout_stage(&self, service: &str) -> Option<u8> {
         match self.operations.borrow().rollouts.get(service)?.stage {
             Stage::Active(stage) => Some(stage),
--- a/crates/beechcroft-proxy/src/state_owner.rs
+++ b/crates/beechcroft-proxy/src/state_owner.rs
@@ -1,7 +1,7 @@
-//! The owner of what a proxy is told: members, endpoints, the configuration, rollouts.
+//! The owner of the state that a proxy receives from other nodes: members, endpoints, configuration, rollouts.
 //!
-//! Everything reaches it through one queue of [`Command`]s. It handles each in one step and never awaits. What requests use
-//! of its state, it puts into [`Shared`].
+//! Sockets, timers and requests reach it only through one queue of [`Command`]s. Each command is handled in one step that
+//! never awaits. The owner publishes in [`Shared`] what requests need of its state.
 
 mod endpoints;
 mod hot_keys;
@@ -19,8 +19,8 @@
 use beechcroft_routing::RoutingTable;
 use beechcroft_transport::datagram::MessageSocket;
 use beechcroft_transport::rpc::{RegisterFetcher, RpcClient};
-use endpoints::WarmupDoubt;
-use rollouts::StageSeen;
+use endpoints::UncertainWarmup;
+use rollouts::ObservedStage;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -28,77 +28,77 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 
-/// For a control node to read the registers' revisions.
+/// Timeout of the call in which a control node reads the registers' revisions.
 const REVISIONS_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The mechanism's tick, in milliseconds.
+/// Interval between ticks of the detectors of hot keys and bad versions, in milliseconds.
 const DETECTION_INTERVAL_MS: u64 = 100;
-/// Between two times that all endpoints are synchronized with the load balancer, in milliseconds.
+/// Interval at which all endpoints are synchronized with the load balancer, in milliseconds.
 const SYNC_INTERVAL_MS: u64 = 500;
-/// Since the first endpoint is known, before the proxy serves, in milliseconds.
+/// Minimum time between the first known endpoint and readiness, in milliseconds, so that more endpoints can arrive.
 const ENDPOINTS_SETTLE_MS: u64 = 60;
 
-/// What the state owner is told or asked.
+/// An event or a request for the state owner.
 pub enum Command {
-    /// A gossip message has come.
+    /// A gossip message was received.
     Message(SocketAddrV4, Box<beechcroft_gossip::Message>),
     /// A register's value was fetched from a peer.
     RegisterFetched {
-        /// The register.
+        /// The fetched register.
         register: RegisterId,
-        /// The value.
+        /// Its value at the peer.
         value: Value,
     },
     /// A control node has read the registers' revisions from a majority.
     RevisionsConfirmed(PerRegister<Revision>),
-    /// The latest known value of a register is asked for.
+    /// Reads the latest known value of a register.
     ReadRegister {
-        /// The register.
+        /// The register to read.
         register: RegisterId,
-        /// Gets the value.
-        value: oneshot::Sender<Value>,
+        /// Receives the value.
+        reply: oneshot::Sender<Value>,
     },
-    /// Another unit has answered at the address of the one with this id, which has ended.
+    /// Another unit answered at the address of the unit with this id, so that one no longer exists.
     EndpointReplaced(Rc<str>),
-    /// The seeds have changed.
+    /// The addresses of the seed nodes have changed.
     Seeds(Vec<SocketAddrV4>),
-    /// The proxy is shutting down.
+    /// The proxy starts to shut down.
     ShutDown,
-    /// Time has passed.
+    /// Runs periodic work.
     Tick,
 }
 
-/// The queue of the state owner.
+/// Sender for the state owner's queue.
 pub type CommandQueue = mpsc::UnboundedSender<Command>;
 
-/// The owner of what a proxy is told.
+/// The owner of the state that a proxy receives from other nodes.
 pub struct StateOwner {
     shared: Rc<Shared>,
     gossip: Gossip,
-    /// The latest values that are known to be chosen.
+    /// Latest values of the registers that are known to be chosen.
     chosen: PerRegister<Value>,
     fetcher: RegisterFetcher,
-    /// Endpoints that may warm up although no heartbeat says so.
-    doubts: BTreeMap<String, WarmupDoubt>,
-    /// Since when any endpoint is known.
-    endpoints_since: Option<u64>,
+    /// Endpoints that may be warming up although their last heartbeat does not say so, by id.
+    uncertain_warmups: BTreeMap<String, UncertainWarmup>,
+    /// Time at which the first endpoint became known.
+    first_endpoint_at: Option<u64>,
     startup: Startup,
-    detection_at: u64,
-    publish_at: u64,
-    vote_at: u64,
-    sync_at: u64,
-    /// The sequence number of the latest update that this proxy has published.
+    next_detection_at: u64,
+    next_publish_at: u64,
+    next_vote_at: u64,
+    next_sync_at: u64,
+    /// Sequence number of the latest update that this proxy has published.
     update_sequence: u32,
     outlier_detectors: BTreeMap<String, OutlierDetector>,
     observation_filters: BTreeMap<String, ObservationFilter>,
-    /// Since when each rollout is in its stage, as this proxy knows.
-    stages: BTreeMap<String, StageSeen>,
+    /// Stages of the rollouts as observed by this proxy, by service.
+    stages: BTreeMap<String, ObservedStage>,
     socket: MessageSocket,
     rpc: RpcClient,
     queue: CommandQueue,
 }
 
 impl StateOwner {
-    /// A state owner that knows nothing yet. `salt` is drawn by each process.
+    /// Creates a state owner without any state from other nodes. `salt` seeds random choices and differs between processes.
     pub fn new(
         shared: Rc<Shared>,
         local: Member,
@@ -115,13 +115,13 @@
             gossip,
             chosen: PerRegister::default(),
             fetcher: RegisterFetcher::default(),
-            doubts: BTreeMap::new(),
-            endpoints_since: None,
+            uncertain_warmups: BTreeMap::new(),
+            first_endpoint_at: None,
             startup: Startup::default(),
-            detection_at: 0,
-            publish_at: 0,
-            vote_at: 0,
-            sync_at: 0,
+            next_detection_at: 0,
+            next_publish_at: 0,
+            next_vote_at: 0,
+            next_sync_at: 0,
             update_sequence: 0,
             outlier_detectors: BTreeMap::new(),
             observation_filters: BTreeMap::new(),
@@ -145,8 +145,8 @@
                 self.on_chosen(now, register, value, &mut actions);
             }
             Command::RevisionsConfirmed(revisions) => self.startup.on_confirmed(revisions),
-            Command::ReadRegister { register, value } => {
-                let _ = value.send(self.chosen[register].clone());
+            Command::ReadRegister { register, reply } => {
+                let _ = reply.send(self.chosen[register].clone());
             }
             Command::EndpointReplaced(id) => {
                 if self.gossip.mark_endpoint_gone(&id) {
@@ -163,11 +163,11 @@
                 self.tick(now, &mut actions);
             }
         }
-        self.perform(now, actions);
+        self.perform_actions(now, actions);
     }
 
-    /// Performs what gossip asks for.
-    fn perform(&mut self, now: u64, actions: Vec<Action>) {
+    /// Performs the actions that gossip returned.
+    fn perform_actions(&mut self, now: u64, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, message } => self.socket.send(to, &message),
@@ -185,7 +185,7 @@
                     }
                 }
                 Action::EndpointChanged(id) => {
-                    self.end_predecessors(&id);
+                    self.mark_predecessors_gone(&id);
                     self.sync_endpoint(now, &id);
                 }
                 Action::EndpointHeartbeat(id) => self.sync_endpoint(now, &id),
@@ -203,7 +203,7 @@
         }
     }
 
-    /// A value is chosen. Older ones are ignored, and so is one that cannot be decoded.
+    /// Applies a chosen value of a register. A value that is not newer or cannot be decoded is ignored.
     fn on_chosen(
         &mut self,
         now: u64,
@@ -230,7 +230,7 @@
     fn apply_config(&mut self, value: &Value) -> Option<()> {
         let mut config: Config = ConfigStore::decode(value).ok()?.config()?;
         self.shared.defaults.apply(&mut config);
-        log::info!("state: Configuration {:08x} is in force.", config.version);
+        log::info!("state: Applied configuration {:08x}.", config.version);
         *self.shared.routes.borrow_mut() = Some(Rc::new(RoutingTable::new(&config)));
         Some(())
     }
@@ -240,11 +240,11 @@
         log::info!("state: Operations at {}: {operations:?}.", value.revision);
         let before = self.shared.operations.replace(operations);
         self.learn_placements(now);
-        self.doubt_returned_zones(now, &before);
+        self.mark_uncertain_warmups(now, &before);
         Some(())
     }
 
-    /// Placements that have changed: for a while, a key that has moved goes nowhere.
+    /// Records changed placements. For a while, non-idempotent requests for a key that has moved are rejected.
     fn learn_placements(&mut self, now: u64) {
         let operations = self.shared.operations.borrow();
         let mut histories = self.shared.placements.borrow_mut();
@@ -255,8 +255,8 @@
     }
 
     fn tick(&mut self, now: u64, actions: &mut Vec<Action>) {
-        if now >= self.sync_at {
-            self.sync_at = now + SYNC_INTERVAL_MS;
+        if now >= self.next_sync_at {
+            self.next_sync_at = now + SYNC_INTERVAL_MS;
             self.mark_silent_endpoints(now);
             self.sync_all_endpoints(now);
             self.close_unused_connections(now);
@@ -264,10 +264,10 @@
         if self.shared.phase.get() == Phase::Starting {
             self.advance_startup(now, actions);
         }
-        if now >= self.detection_at {
-            self.detection_at = now + DETECTION_INTERVAL_MS;
+        if now >= self.next_detection_at {
+            self.next_detection_at = now + DETECTION_INTERVAL_MS;
             self.update_hot_keys(now);
-            if now >= self.publish_at {
+            if now >= self.next_publish_at {
                 self.update_outliers();
             }
             self.shared
@@ -277,19 +277,19 @@
         }
     }
 
-    /// Until this proxy holds what a majority confirms and knows endpoints, it takes no requests.
+    /// Makes the proxy ready once it knows endpoints and its values are as new as a majority confirms.
     fn advance_startup(&mut self, now: u64, actions: &mut Vec<Action>) {
-        let mut held = PerRegister::default();
+        let mut revisions = PerRegister::default();
         for register in RegisterId::ALL {
-            held[register] = self.chosen[register].revision;
+            revisions[register] = self.chosen[register].revision;
         }
-        if let Some(question) = self.startup.next_question(now) {
-            self.ask_revisions(question);
+        if let Some(request) = self.startup.next_request(now) {
+            self.request_revisions(request);
         }
         let has_endpoints = self
-            .endpoints_since
+            .first_endpoint_at
             .is_some_and(|at| now >= at + ENDPOINTS_SETTLE_MS);
-        if has_endpoints && self.startup.may_serve(now, held) {
+        if has_endpoints && self.startup.may_serve(now, revisions) {
             self.shared.phase.set(Phase::Ready);
             self.gossip.set_state(MemberState::Ready);
             self.gossip.flush_now(now, actions);
@@ -297,9 +297,9 @@
         }
     }
 
-    /// Asks one control node, the next one each time: all proxies in the same order, so that those which start together
-    /// share rounds.
-    fn ask_revisions(&self, question: usize) {
+    /// Requests the revisions from one control node, another one each time. All proxies use the same order, so that the
+    /// requests of proxies that start together can share a majority read.
+    fn request_revisions(&self, request: usize) {
         let members = self
             .gossip
             .live_members()
@@ -311,20 +311,22 @@
         let seeds = &self.shared.settings.seed_nodes;
         let port = self.shared.settings.internal_ports[0];
         let to = match (nodes.is_empty(), seeds.is_empty()) {
-            (false, _) => nodes[question % nodes.len()].1,
-            (true, false) => SocketAddrV4::new(*seeds[question % seeds.len()].ip(), port),
+            (false, _) => nodes[request % nodes.len()].1,
+            (true, false) => SocketAddrV4::new(*seeds[request % seeds.len()].ip(), port),
             (true, true) => return,
         };
         let (rpc, queue) = (self.rpc.clone(), self.queue.clone());
         spawn_local(async move {
             match rpc.read_revisions(to, REVISIONS_TIMEOUT).await {
                 Ok(revisions) => drop(queue.send(Command::RevisionsConfirmed(revisions))),
-                Err(error) => log::info!("state: No control node has confirmed: {error}."),
+                Err(error) => {
+                    log::info!("state: A control node did not confirm the revisions: {error}.")
+                }
             }
         });
     }
 
-    /// The sequence number of the next update that this proxy publishes.
+    /// Returns the sequence number for the next update that this proxy publishes.
     fn next_sequence(&mut self) -> u32 {
         self.update_sequence += 1;
         self.update_sequence
--- a/crates/beechcroft-proxy/src/state_owner/endpoints.rs
+++ b/crates/beechcroft-proxy/src/state_owner/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints: what the load balancer holds follows what is known of them.
+//! Keeps the endpoints of the load balancer in step with the registry of endpoints that gossip maintains.
 
 use super::StateOwner;
 use beechcroft_balancer::{ProxyPosition, Upstream, VersionClass};
@@ -8,38 +8,41 @@
 use rapidhash::v3::rapidhash_v3;
 use std::collections::BTreeMap;
 
-/// Proxies that may send to one endpoint while it warms up.
+/// Number of proxies that may send requests to an endpoint while it warms up.
 const SLOW_START_PROXIES: usize = 2;
-/// The share of what an endpoint bears while it warms up that proxies use.
+/// Share of an endpoint's request rate during warm-up that these proxies use together.
 const SLOW_START_SHARE: f64 = 0.5;
-/// Heartbeats missed before an endpoint counts as silent.
+/// Missed heartbeats after which an endpoint counts as silent.
 const MISSED_HEARTBEATS: u64 = 3;
-/// For an update to arrive, in milliseconds.
+/// Allowance for the propagation of an update by gossip, in milliseconds.
 const UPDATE_DELAY_MS: u64 = 500;
-/// How long a doubt lasts beyond the warm-up, in milliseconds.
-const DOUBT_MARGIN_MS: u64 = 1000;
+/// Time beyond the longest warm-up after which an uncertain warm-up counts as over, in milliseconds.
+const UNCERTAINTY_MARGIN_MS: u64 = 1000;
 
-/// An endpoint's zone was taken back: it may be warming up until a later heartbeat says otherwise.
-pub(super) struct WarmupDoubt {
-    /// The heartbeat that ends the doubt.
-    sequence: u64,
-    until: u64,
+/// A possible warm-up of an endpoint whose zone is no longer evacuated. It is assumed until a later heartbeat states the
+/// warm-up.
+pub(super) struct UncertainWarmup {
+    /// Sequence number of the heartbeat from which the warm-up is known.
+    known_from_sequence: u64,
+    /// Time at which the warm-up counts as over without such a heartbeat.
+    ends_at: u64,
 }
 
 impl StateOwner {
-    /// Endpoints of zones that are taken back may have to warm up again: only a later heartbeat says otherwise.
-    pub(super) fn doubt_returned_zones(&mut self, now: u64, before: &OperationsState) {
+    /// Endpoints of zones that are no longer evacuated may have to warm up again. Only a heartbeat sent after the change
+    /// tells whether they do.
+    pub(super) fn mark_uncertain_warmups(&mut self, now: u64, before: &OperationsState) {
         let operations = self.shared.operations.borrow();
-        let until = now + self.longest_warmup_ms() + DOUBT_MARGIN_MS;
+        let ends_at = now + self.longest_warmup_ms() + UNCERTAINTY_MARGIN_MS;
         for endpoint in self.gossip.endpoints().iter() {
             let record = &endpoint.record;
             let was_evacuated = before.evacuated_zones.contains(&record.zone);
             if was_evacuated && !operations.evacuated_zones.contains(&record.zone) {
-                let doubt = WarmupDoubt {
-                    sequence: record.sequence + 1,
-                    until,
+                let warmup = UncertainWarmup {
+                    known_from_sequence: record.sequence + 1,
+                    ends_at,
                 };
-                self.doubts.insert(record.id.clone(), doubt);
+                self.uncertain_warmups.insert(record.id.clone(), warmup);
             }
         }
     }
@@ -60,41 +63,42 @@
         }
     }
 
-    /// Of two endpoints at one address, the one that was heard earlier has ended. Nothing is sent to it any more, least of
-    /// all on connections that its successor's machine would reset.
-    pub(super) fn end_predecessors(&mut self, id: &str) {
+    /// Of several endpoints at one address, only the one with the latest heartbeat still exists. Marks this endpoint as gone
+    /// if another one was heard later, else the other ones. Their idle connections are closed, because the machine of the
+    /// successor would reset them.
+    pub(super) fn mark_predecessors_gone(&mut self, id: &str) {
         let is_alive = |endpoint: &&Endpoint| endpoint.record.state != EndpointState::Gone;
         let endpoints = self.gossip.endpoints();
         let Some(endpoint) = endpoints.get(id).filter(is_alive) else {
             return;
         };
-        let (address, heard_at) = (endpoint.record.address, endpoint.last_heartbeat_at);
-        let rivals = endpoints
+        let (address, heartbeat_at) = (endpoint.record.address, endpoint.last_heartbeat_at);
+        let others = endpoints
             .iter()
             .filter(is_alive)
             .filter(|other| other.record.address == address && other.record.id != id);
-        let rivals: Vec<(String, u64)> = rivals
+        let others: Vec<(String, u64)> = others
             .map(|other| (other.record.id.clone(), other.last_heartbeat_at))
             .collect();
-        let ended: Vec<String> = match rivals.iter().any(|(_, at)| *at > heard_at) {
+        let gone: Vec<String> = match others.iter().any(|(_, at)| *at > heartbeat_at) {
             true => vec![id.to_owned()],
-            false => rivals.into_iter().map(|(rival, _)| rival).collect(),
+            false => others.into_iter().map(|(other, _)| other).collect(),
         };
         let now = self.shared.now();
-        for gone in ended {
-            if self.gossip.mark_endpoint_gone(&gone) {
-                self.shared.pool.borrow_mut().close_idle(&gone);
-                self.sync_endpoint(now, &gone);
+        for id in gone {
+            if self.gossip.mark_endpoint_gone(&id) {
+                self.shared.pool.borrow_mut().close_idle(&id);
+                self.sync_endpoint(now, &id);
             }
         }
     }
 
-    /// Brings what the load balancer holds of an endpoint up to what is known of it.
+    /// Updates the load balancer's entry for an endpoint from the registry, the operations and the placement.
     pub(super) fn sync_endpoint(&mut self, now: u64, id: &str) {
         let Some(endpoint) = self.gossip.endpoints().get(id) else {
             return;
         };
-        self.endpoints_since.get_or_insert(now);
+        self.first_endpoint_at.get_or_insert(now);
         let record = &endpoint.record;
         let mut balancer = self.shared.balancer.borrow_mut();
         if record.state == EndpointState::Gone {
@@ -121,8 +125,8 @@
             && !operations.evacuated_zones.contains(&record.zone);
         let placement = operations.placements.get(&record.service);
         upstream.is_excluded_by_placement =
-            placement.is_some_and(|held| held.excluded.contains(id));
-        upstream.warmup_ends_at = self.warm_at(now, endpoint);
+            placement.is_some_and(|placement| placement.excluded.contains(id));
+        upstream.warmup_ends_at = self.warmup_ends_at(now, endpoint);
         upstream.slow_start_rate = self.slow_start_rate(now, endpoint);
     }
 
@@ -134,17 +138,18 @@
         Upstream::new(&record.id, record.address, zone, region, version, capacity)
     }
 
-    /// When an endpoint will have warmed up, with a doubt counted in.
-    fn warm_at(&self, now: u64, endpoint: &Endpoint) -> u64 {
+    /// Time at which the warm-up of an endpoint ends, including an uncertain one.
+    fn warmup_ends_at(&self, now: u64, endpoint: &Endpoint) -> u64 {
         let record = &endpoint.record;
-        let doubt = self.doubts.get(&record.id);
-        let doubt = doubt.filter(|doubt| record.sequence < doubt.sequence && now < doubt.until);
-        doubt.map_or(endpoint.warmup_ends_at, |doubt| {
-            doubt.until.max(endpoint.warmup_ends_at)
+        let uncertain = self.uncertain_warmups.get(&record.id);
+        let uncertain = uncertain
+            .filter(|warmup| record.sequence < warmup.known_from_sequence && now < warmup.ends_at);
+        uncertain.map_or(endpoint.warmup_ends_at, |warmup| {
+            warmup.ends_at.max(endpoint.warmup_ends_at)
         })
     }
 
-    /// Requests a second that this proxy may send to an endpoint while it warms up.
+    /// Rate at which this proxy may send requests to an endpoint that is warming up, in requests per second.
     fn slow_start_rate(&self, now: u64, endpoint: &Endpoint) -> f64 {
         let record = &endpoint.record;
         if endpoint.warmup_ends_at <= now || !self.is_slow_start_proxy(&record.id) {
@@ -157,7 +162,8 @@
         rate * SLOW_START_SHARE / SLOW_START_PROXIES as f64
     }
 
-    /// Whether this proxy is among the few that may send to an endpoint while it warms up.
+    /// Whether this proxy is among the few that may send requests to an endpoint while it warms up. All proxies agree on
+    /// them by rendezvous hashing.
     fn is_slow_start_proxy(&self, id: &str) -> bool {
         let weight = |name: &str| rapidhash_v3(format!("{name} warms {id}").as_bytes());
         let own_weight = weight(&self.gossip.local().name);
@@ -165,62 +171,63 @@
             .gossip
             .live_members()
             .filter(|member| !member.is_control);
-        let before = proxies.filter(|member| weight(&member.name) > own_weight);
-        before.count() < SLOW_START_PROXIES
+        let ranked_before = proxies.filter(|member| weight(&member.name) > own_weight);
+        ranked_before.count() < SLOW_START_PROXIES
     }
 
-    /// Counts proxies, and finds this one's position among those of its region.
+    /// Updates the number of live proxies and this proxy's position among those of its region.
     pub(super) fn update_position(&mut self) {
         let is_proxy = |member: &&Member| !member.is_control;
         let proxies = self.gossip.live_members().filter(is_proxy).count();
         self.shared.proxies.set(1 + proxies);
-        let order = |name: &str| rapidhash_v3(format!("{name} keeps").as_bytes());
+        let order_hash = |name: &str| rapidhash_v3(format!("{name} keeps").as_bytes());
         let local = self.gossip.local();
-        let own_order = order(&local.name);
-        let neighbours = || {
+        let own_order = order_hash(&local.name);
+        let region_peers = || {
             let members = self.gossip.live_members().filter(is_proxy);
             members.filter(|member| member.region == local.region)
         };
-        let index = neighbours()
-            .filter(|member| order(&member.name) < own_order)
+        let index = region_peers()
+            .filter(|member| order_hash(&member.name) < own_order)
             .count();
         let position = ProxyPosition {
             index,
-            count: neighbours().count() + 1,
+            count: region_peers().count() + 1,
         };
         self.shared.balancer.borrow_mut().set_position(position);
     }
 
-    /// Marks endpoints whose heartbeats have stopped, unless most have: then it is this proxy that hears nothing.
+    /// Marks ready endpoints whose heartbeats are overdue, unless those of most endpoints are: then it is more likely that
+    /// this proxy is cut off from gossip.
     pub(super) fn mark_silent_endpoints(&mut self, now: u64) {
-        // Only every few heartbeats are passed on.
+        // Gossip passes on only one in HEARTBEATS_PER_UPDATE heartbeats.
         let heartbeats = HEARTBEATS_PER_UPDATE + MISSED_HEARTBEATS;
-        let patience_ms = heartbeats * self.shared.settings.heartbeat_ms + UPDATE_DELAY_MS;
+        let timeout_ms = heartbeats * self.shared.settings.heartbeat_ms + UPDATE_DELAY_MS;
         let is_silent =
-            |endpoint: &Endpoint| now.saturating_sub(endpoint.last_heartbeat_at) > patience_ms;
+            |endpoint: &Endpoint| now.saturating_sub(endpoint.last_heartbeat_at) > timeout_ms;
         let ready = || {
             let endpoints = self.gossip.endpoints().iter();
             endpoints.filter(|endpoint| endpoint.record.state == EndpointState::Ready)
         };
         let silent = ready().filter(|endpoint| is_silent(endpoint)).count();
-        let are_most_silent = silent * 2 > ready().count();
+        let most_are_silent = silent * 2 > ready().count();
         let mut balancer = self.shared.balancer.borrow_mut();
         for endpoint in ready() {
             let record = &endpoint.record;
             if let Some(upstream) = balancer.upstream_mut(&record.service, &record.id) {
-                upstream.is_heartbeat_overdue = !are_most_silent && is_silent(endpoint);
+                upstream.is_heartbeat_overdue = !most_are_silent && is_silent(endpoint);
             }
         }
     }
 
-    /// Closes kept connections to endpoints that get no more requests, and those that were idle for too long.
+    /// Closes idle connections to endpoints that no longer receive requests, and those that have been idle for too long.
     pub(super) fn close_unused_connections(&mut self, now: u64) {
         let balancer = self.shared.balancer.borrow();
         let available: BTreeMap<&str, bool> = balancer
             .upstreams()
             .map(|(_, upstream)| (&*upstream.id, upstream.is_available))
             .collect();
-        let is_used = |unit: &str| available.get(unit).copied().unwrap_or(false);
-        self.shared.pool.borrow_mut().close_expired(now, is_used);
+        let is_in_use = |unit: &str| available.get(unit).copied().unwrap_or(false);
+        self.shared.pool.borrow_mut().close_expired(now, is_in_use);
     }
 }
--- a/crates/beechcroft-proxy/src/state_owner/outliers.rs
+++ b/crates/beechcroft-proxy/src/state_owner/outliers.rs
@@ -1,4 +1,5 @@
-//! Outliers: what this proxy observed in the last period is published, and verdicts on all evidence reach the load balancer.
+//! Outlier detection: publishes what this proxy observed in the last period, and applies the verdicts on the evidence of
+//! all proxies to the load balancer.
 
 use super::StateOwner;
 use beechcroft_config::config::{OutlierRules, Service};
@@ -7,7 +8,7 @@
 use std::collections::BTreeSet;
 
 impl StateOwner {
-    /// Once a period.
+    /// Publishes the observations of the last period and applies the verdicts. Called once per period.
     pub(super) fn update_outliers(&mut self) {
         let Some(routes) = self.shared.routes.borrow().clone() else {
             return;
@@ -20,23 +21,23 @@
         };
         self.outlier_detectors.retain(|name, _| has_rules(name));
         self.observation_filters.retain(|name, _| has_rules(name));
-        let mut counted = self.shared.outcome_counts.take();
+        let mut outcome_counts = self.shared.outcome_counts.take();
         let period = self.shared.runtime.time_of_day().as_secs() as u32;
         for service in &routes.services {
             let Some(rules) = &service.unfit else {
                 continue;
             };
-            let counts = counted.remove(&service.name).unwrap_or_default();
+            let counts = outcome_counts.remove(&service.name).unwrap_or_default();
             let counts = counts
                 .into_iter()
                 .map(|(id, counts)| (endpoint_key(&id), counts));
-            self.observe(service, period, counts.collect());
+            self.publish_observation(service, period, counts.collect());
             self.apply_verdicts(service, rules);
         }
     }
 
-    /// Merges what this proxy counted, and publishes what of it is worth reporting.
-    fn observe(
+    /// Merges the outcomes that this proxy counted into its detector, and publishes those worth reporting.
+    fn publish_observation(
         &mut self,
         service: &Service,
         period: u32,
@@ -74,6 +75,7 @@
         self.gossip.publish_observation(observation);
     }
 
+    /// Ejects endpoints that are unhealthy, or unreachable from this region, by the evidence of all proxies.
     fn apply_verdicts(&mut self, service: &Service, rules: &OutlierRules) {
         let Some(detector) = self.outlier_detectors.get(&service.name) else {
             return;
--- a/crates/beechcroft-proxy/src/state_owner/rollouts.rs
+++ b/crates/beechcroft-proxy/src/state_owner/rollouts.rs
@@ -1,4 +1,5 @@
-//! Rollouts: the mechanism's tick for each that is under way, alarm updates for peers, votes to roll back.
+//! Rollouts: ticks the detector of bad versions for each rollout in progress, publishes alarm updates for other proxies, and
+//! votes to roll back.
 
 use super::StateOwner;
 use beechcroft_balancer::VersionClass;
@@ -10,22 +11,23 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Between two alarm updates, in milliseconds.
+/// Interval between alarm updates, in milliseconds.
 const PUBLISH_INTERVAL_MS: u64 = 1000;
-/// Between two votes, in milliseconds.
+/// Minimum interval between votes to roll back, in milliseconds.
 const VOTE_INTERVAL_MS: u64 = 400;
-/// For a control node to take a vote.
+/// Timeout of the call that delivers a vote to a control node.
 const VOTE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Since when a rollout is in its stage, as this proxy knows.
+/// The stage of a rollout as observed by this proxy.
 #[derive(Clone, Copy)]
-pub(super) struct StageSeen {
+pub(super) struct ObservedStage {
     rollout: u64,
     stage: u8,
+    /// Time at which this proxy first observed the stage.
     since: u64,
 }
 
-/// A tick of a service's detector.
+/// Result of a tick of a service's detector.
 struct DetectorTick {
     stage: u8,
     status: DetectorStatus,
@@ -33,11 +35,12 @@
 }
 
 impl StateOwner {
-    /// The mechanism's tick for each service with a rollout under way, and once a second the alarm update.
+    /// Ticks the detector of each service with a rollout in progress and votes to roll back bad versions. Once per
+    /// [`PUBLISH_INTERVAL_MS`] it also publishes alarm updates.
     pub(super) fn detect_bad_versions(&mut self, now: u64) {
-        let publishes = now >= self.publish_at;
-        if publishes {
-            self.publish_at = now + PUBLISH_INTERVAL_MS;
+        let is_publish_due = now >= self.next_publish_at;
+        if is_publish_due {
+            self.next_publish_at = now + PUBLISH_INTERVAL_MS;
         }
         let rollouts = self.shared.operations.borrow().rollouts.clone();
         let mut updates = Vec::new();
@@ -50,22 +53,22 @@
                 status,
                 peers,
             } = result;
-            if status.wants_rollback && now >= self.vote_at {
-                self.vote_at = now + VOTE_INTERVAL_MS;
+            if status.wants_rollback && now >= self.next_vote_at {
+                self.next_vote_at = now + VOTE_INTERVAL_MS;
                 log::info!("state: Votes to roll {service} back: {status:?}, peers {peers:?}.");
                 self.vote_to_roll_back(service, rollout.id);
             }
             let count =
                 |quota: &mut beechcroft_balancer::CanaryQuota| quota.requests(rollout.id, stage);
             let requests = self.shared.with_canary_quota(service, count);
-            if publishes {
-                let seen = StageSeen {
+            if is_publish_due {
+                let observed = ObservedStage {
                     rollout: rollout.id,
                     stage,
                     since: now,
                 };
-                let seen = self.stages.get(service).copied().unwrap_or(seen);
-                updates.push(self.alarm_update(now, service, seen, requests, status));
+                let observed = self.stages.get(service).copied().unwrap_or(observed);
+                updates.push(self.alarm_update(now, service, observed, requests, status));
             }
         }
         for update in updates {
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Advances the detector of a service. `None` if no rollout of it is under way, or no request went to it yet.
+    /// Advances the detector of a service. `None` if no rollout of the service is in progress, or it has had no requests yet.
     fn tick_detector(
         &mut self,
         now: u64,
@@ -88,14 +91,15 @@
             return None;
         };
         detector.set_stage(rollout.id, stage);
-        let seen = self.stages.get(service);
-        if seen.is_none_or(|seen| (seen.rollout, seen.stage) != (rollout.id, stage)) {
-            let seen = StageSeen {
+        let observed = self.stages.get(service);
+        if observed.is_none_or(|observed| (observed.rollout, observed.stage) != (rollout.id, stage))
+        {
+            let observed = ObservedStage {
                 rollout: rollout.id,
                 stage,
                 since: now,
             };
-            self.stages.insert(service.to_owned(), seen);
+            self.stages.insert(service.to_owned(), observed);
         }
         let local = &self.gossip.local().name;
         let alarms = self.gossip.alarms(now, service).filter(|update| {
@@ -110,15 +114,16 @@
         })
     }
 
+    /// The update that tells other proxies and the control nodes what this proxy observes of a rollout.
     fn alarm_update(
         &mut self,
         now: u64,
         service: &str,
-        seen: StageSeen,
+        observed: ObservedStage,
         requests: u32,
         status: DetectorStatus,
     ) -> AlarmUpdate {
-        let is_last = seen.stage == LAST_STAGE;
+        let is_last = observed.stage == LAST_STAGE;
         let baseline_in_flight = if is_last {
             self.baseline_in_flight(service)
         } else {
@@ -136,9 +141,9 @@
             incarnation: local.incarnation,
             sequence,
             service: service.to_owned(),
-            rollout: seen.rollout,
-            stage: seen.stage,
-            stage_ms: (now - seen.since) as u32,
+            rollout: observed.rollout,
+            stage: observed.stage,
+            stage_ms: (now - observed.since) as u32,
             is_alarmed: status.is_alarmed,
             divergence: status.divergence as f32,
             trials: status.count.trials,
@@ -154,16 +159,16 @@
         }
     }
 
-    /// Requests of this proxy that are in flight at the base version.
+    /// Number of this proxy's requests in flight to endpoints of the base version.
     fn baseline_in_flight(&self, service: &str) -> u32 {
         let balancer = self.shared.balancer.borrow();
         let base = balancer
             .upstreams()
-            .filter(|(of, upstream)| *of == service && upstream.class == VersionClass::Base);
+            .filter(|(name, upstream)| *name == service && upstream.class == VersionClass::Base);
         base.map(|(_, upstream)| upstream.in_flight).sum()
     }
 
-    /// The vote goes to every control node: whichever reaches a majority carries it out.
+    /// Sends a vote to roll back to every control node. Any of them that reaches a majority applies it.
     fn vote_to_roll_back(&self, service: &str, rollout: u64) {
         let Ok(vote) = postcard::to_stdvec(&(service, rollout)) else {
             return;
