--- a/crates/beechcroft-proxy/src/client.rs
+++ b/crates/beechcroft-proxy/src/client.rs
@@ -193,7 +193,7 @@
     fn log_error_response(&self, kind: ErrorKind) {
         let id = self.head.attempt_id.as_deref().unwrap_or("-");
         log::debug!(
-            "client: Request {id} to {} rejected: {kind:?}.",
+            "client: Request {id} to {} answered with {kind:?}.",
             self.head.target
         );
     }
--- a/crates/beechcroft-proxy/src/pool.rs
+++ b/crates/beechcroft-proxy/src/pool.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Records that a connection outside the pool was closed.
+    /// Records that a connection in use was closed instead of being returned to the pool.
     pub fn on_closed(&mut self, unit: &str) {
         if let Some(connections) = self.0.get_mut(unit) {
             connections.open = connections.open.saturating_sub(1);
