--- a/crates/beechcroft-consensus/examples/model.rs
+++ b/crates/beechcroft-consensus/examples/model.rs
@@ -1,5 +1,5 @@
-//! Explores the models of `tests/model` for a given time, one initial state after the other: first breadth first, then by random
-//! walks with a new seed in each pass.
+//! Explores the models of `tests/model` for a given time, one initial state after the other: first breadth first,
+//! then by random walks with a new seed in each pass.
 //!
 //!     cargo run --release -p beechcroft-consensus --example model -- --minutes 10 --threads 4 --seed 1
 //!
--- a/crates/beechcroft-consensus/src/epoch.rs
+++ b/crates/beechcroft-consensus/src/epoch.rs
@@ -5,7 +5,8 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The incarnation of a replica's disk. It increases when the disk is lost and when another node takes over the replica.
+/// The incarnation of a replica's disk. It increases when the disk is lost and when another node takes over the
+/// replica.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/beechcroft-consensus/src/round.rs
+++ b/crates/beechcroft-consensus/src/round.rs
@@ -129,8 +129,8 @@
 
     /// Records an acceptance and returns the number of acceptances that count.
     ///
-    /// An acceptance of a fenced epoch does not count, because it is lost with the disk. Any majority contains a replica
-    /// that has fenced that epoch, so one of the acceptances reports the later epoch.
+    /// An acceptance of a fenced epoch does not count, because it is lost with the disk. Any majority contains a
+    /// replica that has fenced that epoch, so one of the acceptances reports the later epoch.
     pub(crate) fn record_acceptance(
         &mut self,
         replica: ReplicaId,
--- a/crates/beechcroft-consensus/tests/cluster/mod.rs
+++ b/crates/beechcroft-consensus/tests/cluster/mod.rs
@@ -38,6 +38,7 @@
     Fault::Wipe,
 ];
 
+/// A message in flight, or a pending sync. Nodes are given by index.
 #[derive(Clone, Debug)]
 pub enum Message {
     Request {
@@ -75,6 +76,7 @@
     },
 }
 
+/// A control node with its disk.
 pub struct Node {
     pub acceptor: Acceptor,
     pub proposer: Proposer,
@@ -94,17 +96,20 @@
     epochs_known_to: BTreeMap<usize, Epochs>,
 }
 
+/// A cluster of control nodes.
 pub struct Cluster {
     pub nodes: Vec<Node>,
     pub tolerated_losses: usize,
     pub in_flight: VecDeque<Message>,
     pub now: u64,
     pub step_count: usize,
+    /// A fault to inject, and the step at which to do so.
     pub fault: Option<(usize, Fault)>,
     rng_state: u64,
     /// Probability of a random fault at each step, in thousandths. At most `tolerated_losses` nodes are without their
     /// disk at a time.
     pub fault_permille: u64,
+    /// The nodes that have lost their disks, in order.
     pub wiped_nodes: Vec<usize>,
     chosen: BTreeMap<Revision, Vec<u8>>,
     pub outcomes: BTreeMap<ProposalId, Result<Value, ErrorKind>>,
@@ -141,6 +146,7 @@
 }
 
 impl Cluster {
+    /// Creates a cluster of `count` nodes, each of which holds one replica.
     pub fn new(count: usize, seed: u64) -> Cluster {
         let names: Vec<String> = (0..count).map(node_name).collect();
         let tolerated_losses = count / 2;
@@ -197,6 +203,7 @@
         (self.rng_state >> 33) % below
     }
 
+    /// Carries out the actions of a node's proposer.
     pub fn apply_actions(&mut self, index: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -252,6 +259,7 @@
         )
     }
 
+    /// Has a node propose a configuration with a deadline of 60 s.
     pub fn propose_config(&mut self, index: usize, id: ProposalId, version: u32, base: u32) {
         let operation = Operation::replace_config(
             version,
@@ -274,6 +282,7 @@
         self.apply_actions(index, actions);
     }
 
+    /// Passes an event to a node's proposer.
     pub fn step_proposer(&mut self, index: usize, event: Event, actions: &mut Vec<Action>) {
         let Node {
             acceptor, proposer, ..
@@ -286,6 +295,7 @@
         );
     }
 
+    /// Restarts a node, with its disk or without (`wiped`).
     pub fn restart(&mut self, index: usize, wiped: bool) {
         let (tolerated_losses, salt) = (self.tolerated_losses, self.random_below(1 << 30) + 2);
         let node = &mut self.nodes[index];
@@ -379,6 +389,7 @@
         true
     }
 
+    /// Delivers a message without injecting a fault.
     pub fn deliver(&mut self, message: Message) {
         match message {
             Message::Request {
--- a/crates/beechcroft-consensus/tests/epochs.rs
+++ b/crates/beechcroft-consensus/tests/epochs.rs
@@ -1,5 +1,5 @@
-//! Each safeguard of epochs and takeovers by itself, in a sequence of messages that breaks agreement without it: either a
-//! value that a majority accepted is lost, or a replica has two holders.
+//! Each safeguard of epochs and takeovers by itself, in a sequence of messages that breaks agreement without it:
+//! either a value that a majority accepted is lost, or a replica has two holders.
 
 use beechcroft_consensus::{
     Acceptor, Ballot, Operation, Proposer, RegisterId, ReplicaEpoch, Request, Response, Value,
@@ -90,8 +90,8 @@
     })
 }
 
-/// node-0 is replaced while partitioned, and does not know it; then node-2 loses its disk and node-0 is the first to respond
-/// to it. Returns the highest revision that a majority without the new holder reads.
+/// node-0 is replaced while partitioned, and does not know it; then node-2 loses its disk and node-0 is the first to
+/// respond to it. Returns the highest revision that a majority without the new holder reads.
 fn recover_with_the_state_of_a_replaced_holder() -> u64 {
     let mut nodes = bootstrapped(3);
     let mut successor = empty_acceptor("node-3", 1, 40);
@@ -133,8 +133,8 @@
     );
 }
 
-/// node-0 is replaced while partitioned, the new holder is lost, and node-0 itself is the first to respond to the next one.
-/// Returns the highest revision that a majority reads then.
+/// node-0 is replaced while partitioned, the new holder is lost, and node-0 itself is the first to respond to the
+/// next one. Returns the highest revision that a majority reads then.
 fn take_over_from_a_replaced_holder() -> u64 {
     let mut nodes = bootstrapped(3);
     let mut successor = empty_acceptor("node-3", 1, 40);
@@ -219,9 +219,9 @@
     );
 }
 
-/// node-4 accepts, loses its disk and recovers with the state of node-0, among others. Then node-0 is replaced. The new
-/// holder learns of node-4's later epoch only from node-1 and node-3, while node-2, the last to respond, does not know of it.
-/// Returns whether one of two further acceptances reports that epoch.
+/// node-4 accepts, loses its disk and recovers with the state of node-0, among others. Then node-0 is replaced. The
+/// new holder learns of node-4's later epoch only from node-1 and node-3, while node-2, the last to respond, does not
+/// know of it. Returns whether one of two further acceptances reports that epoch.
 fn is_fenced_acceptance_reported() -> bool {
     let mut nodes = bootstrapped(5);
     for acceptor in &mut nodes[1..4] {
@@ -339,8 +339,8 @@
     assert_eq!(response, Response::Learner);
 }
 
-/// node-0 promises ballot 7, loses its disk and recovers. A value is chosen under ballot 5 without node-1, which then promises
-/// ballot 7 as well. Returns the revision that node-0 holds in the end.
+/// node-0 promises ballot 7, loses its disk and recovers. A value is chosen under ballot 5 without node-1, which then
+/// promises ballot 7 as well. Returns the revision that node-0 holds in the end.
 fn revision_after_round_on_a_lost_promise() -> u64 {
     let mut nodes = bootstrapped(3);
     prepare(&mut nodes[0], 7);
@@ -377,8 +377,8 @@
     assert_eq!(revision_after_round_on_a_lost_promise(), 9);
 }
 
-/// node-0 accepts, loses its disk and recovers before node-1 accepts. Returns whether the proposal is acknowledged, and the
-/// revision that a majority without node-1 reads then.
+/// node-0 accepts, loses its disk and recovers before node-1 accepts. Returns whether the proposal is acknowledged,
+/// and the revision that a majority without node-1 reads then.
 fn propose_with_a_lost_acceptance() -> (bool, u64) {
     let mut nodes = bootstrapped(3);
     let names: Vec<String> = (0..3).map(node_name).collect();
--- a/crates/beechcroft-consensus/tests/membership.rs
+++ b/crates/beechcroft-consensus/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Takeovers of replicas, with a further loss at each message and sync on the way. After each, every acknowledged version
-//! is read, a new proposal is acknowledged, and no revision has two chosen values.
+//! Takeovers of replicas, with a further loss at each message and sync on the way. After each, every acknowledged
+//! version is read, a new proposal is acknowledged, and no revision has two chosen values.
 
 mod cluster;
 
@@ -182,7 +182,8 @@
     }
 }
 
-/// Runs every scenario with the further loss at every `stride`-th step, each with another offset. Returns the number of runs.
+/// Runs every scenario with the further loss at every `stride`-th step, each with another offset. Returns the number
+/// of runs.
 fn run_all(count: usize, stride: usize) -> usize {
     let mut runs = 0;
     for (nth, (initial, further)) in scenarios(count).into_iter().enumerate() {
@@ -239,8 +240,8 @@
         .count()
 }
 
-/// Nodes stop, restart, lose their disks and take over replicas in random order. A further replica is taken away only while
-/// fewer than the tolerated number are unavailable.
+/// Nodes stop, restart, lose their disks and take over replicas in random order. A further replica is taken away only
+/// while fewer than the tolerated number are unavailable.
 #[test]
 fn repeated_takeovers_and_losses_lose_no_acknowledged_version() {
     let (mut wiped, mut takeovers) = (0, 0);
--- a/crates/beechcroft-consensus/tests/model/explore.rs
+++ b/crates/beechcroft-consensus/tests/model/explore.rs
@@ -8,6 +8,7 @@
 use std::hash::{Hash, Hasher};
 use std::time::{Duration, Instant};
 
+/// How states are explored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strategy {
     /// Breadth first: keeps all visited states in memory.
@@ -27,10 +28,12 @@
     pub delivery_probability: f64,
 }
 
+/// The result of an exploration.
 #[derive(Debug)]
 pub struct Exploration {
     pub states: usize,
     pub unique_states: usize,
+    /// Names of the safety properties that were violated and of the other properties that were reached.
     pub discoveries: Vec<&'static str>,
     /// The first violated safety property, and the steps that lead to the violation, one a line.
     pub trace: Option<(&'static str, String)>,
@@ -40,16 +43,19 @@
 pub trait Traceable<A> {
     /// The sender and the receiver, if the action delivers a message.
     fn link(&self, action: &A) -> Option<(usize, usize)>;
+    /// The action as a line of a trace.
     fn describe(&self, action: &A) -> String;
 }
 
-/// Chooses the steps of a random walk. Most steps deliver a message on the currently fastest link. The ranking of the links
-/// is redrawn with a probability of 0.04 at each step, so that some messages are delayed for long while others are exchanged.
+/// Chooses the steps of a random walk. Most steps deliver a message on the currently fastest link. The ranking of the
+/// links is redrawn with a probability of 0.04 at each step, so that some messages are delayed for long while others
+/// are exchanged.
 #[derive(Clone)]
 struct LinkScheduler(f64);
 
 struct Walk {
     rng: Pcg64Mcg,
+    /// Determines the ranking of the links by speed.
     link_seed: u64,
 }
 
--- a/crates/beechcroft-consensus/tests/model/main.rs
+++ b/crates/beechcroft-consensus/tests/model/main.rs
@@ -1,6 +1,6 @@
-//! Consensus and placement under a model checker: the production code, with messages that are reordered, lost and delayed. The
-//! models are explored breadth first and by random walks. Each exploration prints how much it covered, and must cover at least
-//! a stated number of states. `examples/model.rs` explores the same models for longer.
+//! Consensus and placement under a model checker: the production code, with messages that are reordered, lost and
+//! delayed. The models are explored breadth first and by random walks. Each exploration prints how much it covered,
+//! and must cover at least a stated number of states. `examples/model.rs` explores the same models for longer.
 
 mod consensus;
 mod explore;
@@ -28,6 +28,7 @@
     }
 }
 
+/// Competing proposals of two operators, without takeovers.
 mod competing_proposals {
     use super::*;
     use crate::consensus::{ConsensusModel, Start, REACHABILITY_PROPERTIES, SAFETY_PROPERTIES};
@@ -114,6 +115,7 @@
     }
 }
 
+/// The exclusivity of placements.
 mod placements {
     use super::*;
     use crate::placement::{PlacementModel, LEASE_EXPIRED, MOVED, STEP_MS};
@@ -201,8 +203,8 @@
     }
 }
 
-/// Lost disks, takeovers by empty nodes, former holders that come back with a current or an older disk, successors that are
-/// lost during a takeover, further losses after a recovery, and power outages.
+/// Lost disks, takeovers by empty nodes, former holders that come back with a current or an older disk, successors
+/// that are lost during a takeover, further losses after a recovery, and power outages.
 mod members {
     use super::*;
     use crate::consensus::{ConsensusModel, Start, REACHABILITY_PROPERTIES, SAFETY_PROPERTIES};
@@ -256,8 +258,8 @@
         assert_safe(5, 40_000);
     }
 
-    /// Asserts that a safety property is violated without the safeguard, and that none is with it. The budget has few faults
-    /// besides those that the safeguard is for.
+    /// Asserts that a safety property is violated without the safeguard, and that none is with it. The budget has few
+    /// faults besides those that the safeguard is for.
     fn assert_required(
         safeguard: Safeguard,
         replica_count: usize,
--- a/crates/beechcroft-consensus/tests/model/placement.rs
+++ b/crates/beechcroft-consensus/tests/model/placement.rs
@@ -1,6 +1,6 @@
 //! A model of placement: all proxies must send the non-idempotent requests of a key to the same unit. The proxies use
-//! `beechcroft_outlier::placement` as it is; time advances in steps. Proxies learn placements late, miss some, restart, and see
-//! stale quorum reads. A proxy that is partitioned receives no updates for any length of time.
+//! `beechcroft_outlier::placement` as it is; time advances in steps. Proxies learn placements late, miss some,
+//! restart, and see stale quorum reads. A proxy that is partitioned receives no updates for any length of time.
 
 use crate::explore::Traceable;
 use beechcroft_outlier::placement::{check_placement, PlacementHistory, FENCE_MS, LEASE_MS};
@@ -21,6 +21,7 @@
     quorum_read_at: Option<u64>,
 }
 
+/// The chosen placements, what each proxy knows of them, and how many restarts and quorum reads may still occur.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     now: u64,
@@ -46,11 +47,14 @@
     Restarts(usize),
 }
 
+/// The model: its size, and how much may happen.
 #[derive(Clone, Debug)]
 pub struct PlacementModel {
     pub proxies: usize,
+    /// Maximum number of placements, without the empty one of version 0.
     pub placements: usize,
     pub restarts: u8,
+    /// Maximum number of quorum reads, unless `reads_at_once` is set.
     pub quorum_reads: u8,
     /// How stale a quorum read may be when a proxy sees it, in milliseconds.
     pub max_staleness_ms: u64,
@@ -59,6 +63,7 @@
     /// Every proxy sees each acceptable quorum read at once, with the maximum staleness. A proxy never stops using its
     /// placement because of an additional quorum read, so this misses no violation, and the search gets much further.
     pub reads_at_once: bool,
+    /// A safeguard that the code under test runs without.
     pub disabled_safeguard: Option<Safeguard>,
 }
 
@@ -69,6 +74,7 @@
         .find(|unit| !exclusion.contains(*unit))
 }
 
+/// The sets of excluded units that placements choose from.
 const EXCLUSIONS: [&[&str]; 4] = [&[], &["A"], &["A", "B"], &["A", "C"]];
 
 fn exclusion(index: usize) -> BTreeSet<String> {
@@ -106,7 +112,8 @@
         preferred_unit(held)
     }
 
-    /// Whether a proxy accepts a quorum read of the given staleness: the proxy must hold the newest placement of that time.
+    /// Whether a proxy accepts a quorum read of the given staleness: the proxy must hold the newest placement of that
+    /// time.
     fn accepts_quorum_read(state: &State, index: usize, staleness_ms: u64) -> bool {
         let then = state.now.saturating_sub(staleness_ms);
         let newest = state.placements.iter().rposition(|(at, _)| *at <= then);
@@ -115,12 +122,14 @@
             && proxy.quorum_read_at.is_none_or(|at| at < state.now)
     }
 
+    /// Has a proxy see a quorum read of the given staleness, if it accepts it.
     fn record_quorum_read(state: &mut State, index: usize, staleness_ms: u64) {
         if Self::accepts_quorum_read(state, index, staleness_ms) {
             state.proxies[index].quorum_read_at = Some(state.now);
         }
     }
 
+    /// The units to which proxies would send the key's next request.
     fn destinations(&self, state: &State) -> BTreeSet<&'static str> {
         state
             .proxies
@@ -238,8 +247,11 @@
     }
 }
 
+/// The safety property.
 pub const ONE_UNIT: &str = "all proxies send a key's non-idempotent requests to one unit";
+/// Reached by walks in which the key has moved.
 pub const MOVED: &str = "a key has moved to another unit";
+/// Reached by walks in which the old unit's proxy has stopped before the new unit is used.
 pub const LEASE_EXPIRED: &str =
     "a proxy uses the new unit while the lease of a partitioned one has expired";
 
--- a/crates/beechcroft-consensus/tests/model/state.rs
+++ b/crates/beechcroft-consensus/tests/model/state.rs
@@ -1,8 +1,8 @@
-//! The state of the consensus model: nodes with their disks, messages in flight, and the history that later outcomes are
-//! checked against.
+//! The state of the consensus model: nodes with their disks, messages in flight, and the history that later outcomes
+//! are checked against.
 //!
-//! States are hashed by the `Debug` text of their parts, and the hash of a [`Packet`] decides its place among the messages in
-//! flight. Renaming a variant or field of `Packet` therefore changes the walk that a seed stands for.
+//! States are hashed by the `Debug` text of their parts, and the hash of a [`Packet`] decides its place among the
+//! messages in flight. Renaming a variant or field of `Packet` therefore changes the walk that a seed stands for.
 
 use beechcroft_consensus::Epochs;
 use beechcroft_consensus::{
--- a/crates/beechcroft-consensus/tests/operations.rs
+++ b/crates/beechcroft-consensus/tests/operations.rs
@@ -1,5 +1,5 @@
-//! Operations that compete, are retried, are delayed or whose callers have gone. Each safeguard is disabled once, to show that
-//! the expected outcome depends on it.
+//! Operations that compete, are retried, are delayed or whose callers have gone. Each safeguard is disabled once, to
+//! show that the expected outcome depends on it.
 
 use beechcroft_consensus::RegisterId;
 use beechcroft_consensus::{
@@ -531,7 +531,8 @@
     );
 }
 
-/// Proposes a configuration to acceptors that hold undecodable bytes. Returns the outcome and the bytes held afterwards.
+/// Proposes a configuration to acceptors that hold undecodable bytes. Returns the outcome and the bytes held
+/// afterwards.
 fn propose_over_an_undecodable_value() -> (Result<Value, ErrorKind>, Vec<u8>) {
     let mut cluster = Cluster::new(3, 1);
     let ballot = Ballot {
@@ -672,8 +673,8 @@
     );
 }
 
-/// node-0 proposes A, which only node-0 itself accepts. node-1 reads A and proposes B on the same base; its phase 2 requests
-/// and node-0's disk are lost. Returns the outcome of B so far, and the version that is read in the end.
+/// node-0 proposes A, which only node-0 itself accepts. node-1 reads A and proposes B on the same base; its phase 2
+/// requests and node-0's disk are lost. Returns the outcome of B so far, and the version that is read in the end.
 fn reject_by_a_value_that_was_not_chosen() -> (Option<Result<Value, ErrorKind>>, u32) {
     let mut cluster = Cluster::new(3, 1);
     cluster.propose(0, Operation::replace_config(5, 0, b"A"), 2500);
@@ -716,9 +717,9 @@
     );
 }
 
-/// The begin of an evacuation is delayed at node-0, because its promises are held back. The operator begins and ends the
-/// evacuation at node-1; then the promises arrive, optionally without a tick in between, as at a suspended node that resumes.
-/// Returns whether the zone is evacuated in the end, and the outcome of the delayed operation.
+/// The begin of an evacuation is delayed at node-0, because its promises are held back. The operator begins and ends
+/// the evacuation at node-1; then the promises arrive, optionally without a tick in between, as at a suspended node
+/// that resumes. Returns whether the zone is evacuated in the end, and the outcome of the delayed operation.
 fn delayed_evacuation(without_tick: bool) -> (bool, Result<(), ErrorKind>) {
     let mut cluster = Cluster::new(3, 1);
     let late = cluster.propose(0, set_evacuation(true), 700);
@@ -767,9 +768,9 @@
     );
 }
 
-/// node-0 proposes the begin of an evacuation; its phase 2 requests arrive on time at the nodes in `on_time_for`. The end of
-/// the evacuation is acknowledged at node-1; then the other requests arrive. Returns for each node whether it reads the zone
-/// as evacuated.
+/// node-0 proposes the begin of an evacuation; its phase 2 requests arrive on time at the nodes in `on_time_for`. The
+/// end of the evacuation is acknowledged at node-1; then the other requests arrive. Returns for each node whether it
+/// reads the zone as evacuated.
 fn deliver_earlier_proposal_late(on_time_for: [bool; 3], is_retried: bool) -> Vec<bool> {
     let mut cluster = Cluster::new(3, 1);
     cluster.propose(0, set_evacuation(true), 700);
@@ -828,8 +829,8 @@
     );
 }
 
-/// Cancels the begin of an evacuation, either before its round has promises or after its proposal was lost. Returns whether
-/// the zone is evacuated in the end.
+/// Cancels the begin of an evacuation, either before its round has promises or after its proposal was lost. Returns
+/// whether the zone is evacuated in the end.
 fn evacuated_after_cancel(is_proposed: bool, is_cancelled: bool) -> bool {
     let mut cluster = Cluster::new(3, 1);
     let id = cluster.propose(0, set_evacuation(true), 60_000);
--- a/crates/beechcroft-consensus/tests/versions.rs
+++ b/crates/beechcroft-consensus/tests/versions.rs
@@ -1,5 +1,5 @@
-//! Records of another format version and corrupt records: decoding must fail with an error and never return an empty or a
-//! different value.
+//! Records of another format version and corrupt records: decoding must fail with an error and never return an empty
+//! or a different value.
 
 use beechcroft_consensus::encoding::{decode, encode, DecodeError, VERSION};
 use beechcroft_consensus::{
