--- a/crates/beechcroft-hotkeys/src/detector.rs
+++ b/crates/beechcroft-hotkeys/src/detector.rs
@@ -60,7 +60,10 @@
 
 impl HotKeyReport {
     fn rate(&self, key: u64) -> f64 {
-        let entry = self.keys.iter().find(|(reported, _)| *reported == key);
+        let entry = self
+            .keys
+            .iter()
+            .find(|(reported_key, _)| *reported_key == key);
         entry.map_or(0.0, |&(_, rate)| f64::from(rate))
     }
 }
@@ -153,7 +156,7 @@
             self.last_report
                 .keys
                 .iter()
-                .any(|&(reported, _)| reported == key)
+                .any(|&(reported_key, _)| reported_key == key)
         };
         let threshold = |key: u64| {
             self.report_threshold
@@ -232,7 +235,7 @@
     pub fn regional_rate(&self, key: u64) -> f64 {
         let reported = self.peers.values().flat_map(|peer| &peer.report.keys);
         let rates = reported
-            .filter(|(reported, _)| *reported == key)
+            .filter(|(reported_key, _)| *reported_key == key)
             .map(|&(_, rate)| f64::from(rate));
         self.own_rate(key) + rates.sum::<f64>()
     }
