--- a/crates/beechcroft-config/src/settings.rs
+++ b/crates/beechcroft-config/src/settings.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 
 /// The environment variable that names the file.
-pub const VARIABLE: &str = "BEECHCROFT_SETTINGS";
+pub const PATH_VARIABLE: &str = "BEECHCROFT_SETTINGS";
 
 /// The settings of a process. Fields that are not known are skipped.
 #[derive(Clone, Debug, Deserialize, Validate)]
@@ -191,9 +191,10 @@
         Ok(settings)
     }
 
-    /// Reads the file that [`VARIABLE`] names.
+    /// Reads the file that [`PATH_VARIABLE`] names.
     pub fn load() -> Result<Settings, String> {
-        let path = std::env::var(VARIABLE).map_err(|_| format!("{VARIABLE} is not set"))?;
+        let path =
+            std::env::var(PATH_VARIABLE).map_err(|_| format!("{PATH_VARIABLE} is not set"))?;
         let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
         Self::read(&text)
     }
--- a/crates/beechcroft-control/src/api.rs
+++ b/crates/beechcroft-control/src/api.rs
@@ -218,7 +218,7 @@
     /// receiver of the outcome, the state owner cancels the proposal.
     async fn propose(&self, operation: Operation, request: &Request) -> Result<Response, Error> {
         let requires_caller = !operation.is_conditional() && Safeguard::CallerPresence.is_enabled();
-        if requires_caller && request.caller.is_gone().await {
+        if requires_caller && request.caller.is_disconnected().await {
             let detail = "keep the connection open until the response arrives";
             return Err(Error::new(ErrorKind::CallerGone, detail));
         }
@@ -231,7 +231,7 @@
         };
         tokio::select! {
             biased;
-            () = request.caller.gone(), if requires_caller => {
+            () = request.caller.disconnected(), if requires_caller => {
                 Err(Error::new(ErrorKind::NoQuorum, "the caller closed the connection"))
             }
             outcome = ask_owner(&self.queue, command) => {
--- a/crates/beechcroft-control/src/disk.rs
+++ b/crates/beechcroft-control/src/disk.rs
@@ -36,7 +36,7 @@
 /// Opens a data folder. Corrupt records are logged and removed by [`repair`].
 pub fn open(folder: &Path) -> io::Result<RecordStore> {
     RecordStore::open_repaired(folder, |corruption, table| {
-        for place in corruption.places() {
+        for place in corruption.locations() {
             log::error!("disk: {}/{place}.", folder.display());
         }
         if repair(|name| corruption.affects(name), table) {
--- a/crates/beechcroft-control/src/main.rs
+++ b/crates/beechcroft-control/src/main.rs
@@ -106,7 +106,7 @@
     std::fs::read_dir(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let (table, corruption) = RecordStore::peek(folder);
     corruption
-        .places()
+        .locations()
         .iter()
         .for_each(|place| println!("corrupt: {place}"));
     let acceptor = Acceptor::new("", 0, 0, &table);
--- a/crates/beechcroft-lab/src/open.rs
+++ b/crates/beechcroft-lab/src/open.rs
@@ -105,7 +105,7 @@
     idle: &RefCell<Vec<Connection>>,
 ) -> Option<u16> {
     let kept = idle.borrow_mut().pop();
-    let mut line = match kept.filter(Connection::is_clean) {
+    let mut line = match kept.filter(Connection::is_reusable) {
         Some(line) => line,
         None => Connection::new(Runtime::real().connect(to).await.ok()?),
     };
--- a/crates/beechcroft-proxy/src/attempt.rs
+++ b/crates/beechcroft-proxy/src/attempt.rs
@@ -59,7 +59,7 @@
         let ends = response.closes
             || response.framing == Some(Framing::UntilClose)
             || forbids_reuse(request);
-        let is_clean = connection.is_clean() || !Safeguard::CleanConnections.is_enabled();
+        let is_clean = connection.is_reusable() || !Safeguard::CleanConnections.is_enabled();
         if !ends && is_clean {
             self.is_kept = true;
             let now = self.shared.now();
--- a/crates/beechcroft-proxy/src/pool.rs
+++ b/crates/beechcroft-proxy/src/pool.rs
@@ -44,7 +44,7 @@
             } = idle;
             let limit_ms = if is_exclusive { keep_ms / 2 } else { keep_ms };
             let is_young = now.saturating_sub(since) < limit_ms;
-            if is_young && (connection.is_clean() || !Safeguard::CleanConnections.is_enabled()) {
+            if is_young && (connection.is_reusable() || !Safeguard::CleanConnections.is_enabled()) {
                 return Some(connection);
             }
             connections.open -= 1;
--- a/crates/beechcroft-simulator/src/cluster/client.rs
+++ b/crates/beechcroft-simulator/src/cluster/client.rs
@@ -235,7 +235,7 @@
         gave_up,
     };
     let kept = clients.idle.borrow_mut().get_mut(&to).and_then(Vec::pop);
-    let kept = kept.filter(Connection::is_clean);
+    let kept = kept.filter(Connection::is_reusable);
     let mut line = match kept {
         Some(line) => line,
         None => match timeout(Duration::from_secs(1), clients.runtime.connect(to)).await {
--- a/crates/beechcroft-storage/src/corruption.rs
+++ b/crates/beechcroft-storage/src/corruption.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Corruption {
     /// File, offset and entry of each fault.
-    places: Vec<String>,
+    locations: Vec<String>,
     /// Records whose last value is lost.
     lost_records: BTreeSet<String>,
     /// Whole entries are lost, and nobody knows which records they held: any record may be lost but those that were
@@ -19,7 +19,7 @@
 impl Corruption {
     /// Whether everything could be read.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.locations.is_empty()
     }
 
     /// Whether the last value of a record is lost, or may be.
@@ -29,21 +29,21 @@
     }
 
     /// Each fault, with its file, its offset and its entry.
-    pub fn places(&self) -> &[String] {
-        &self.places
+    pub fn locations(&self) -> &[String] {
+        &self.locations
     }
 
     /// Whole entries are lost. Nothing is known of what they held; what is written after them is intact.
-    pub(crate) fn add_lost_entries(&mut self, place: String) {
-        self.places.push(place);
+    pub(crate) fn add_lost_entries(&mut self, location: String) {
+        self.locations.push(location);
         self.lost_records.clear();
         self.written_since.clear();
         self.has_lost_entries = true;
     }
 
     /// The value of one record is lost.
-    pub(crate) fn add_lost_record(&mut self, place: String, record: &str) {
-        self.places.push(place);
+    pub(crate) fn add_lost_record(&mut self, location: String, record: &str) {
+        self.locations.push(location);
         self.written_since.remove(record);
         self.lost_records.insert(record.to_owned());
     }
@@ -59,6 +59,6 @@
 
 impl fmt::Display for Corruption {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}", self.places.join("; "))
+        write!(f, "{}", self.locations.join("; "))
     }
 }
--- a/crates/beechcroft-transport/src/connection.rs
+++ b/crates/beechcroft-transport/src/connection.rs
@@ -75,7 +75,7 @@
     }
 
     /// Whether nothing is unread and the peer has not closed the connection: only then may a request go out on it.
-    pub fn is_clean(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         let mut byte = [0; 1];
         let would_block = |e: io::Error| e.kind() == io::ErrorKind::WouldBlock;
         self.unread().is_empty() && self.stream.try_read(&mut byte).is_err_and(would_block)
--- a/crates/beechcroft-transport/src/http_stream.rs
+++ b/crates/beechcroft-transport/src/http_stream.rs
@@ -70,7 +70,7 @@
     }
 
     /// Whether nothing is unread and the peer has not closed the connection.
-    pub fn is_clean(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         let mut byte = [0; 1];
         let read = self.stream.try_read(&mut byte);
         matches!(read, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
--- a/crates/beechcroft-transport/src/lifecycle.rs
+++ b/crates/beechcroft-transport/src/lifecycle.rs
@@ -76,7 +76,7 @@
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
     };
-    let path = std::env::var(settings::VARIABLE).unwrap_or_default();
+    let path = std::env::var(settings::PATH_VARIABLE).unwrap_or_default();
     let mut text = std::fs::read_to_string(&path).unwrap_or_default();
     loop {
         let _ = tokio::time::timeout(SETTINGS_INTERVAL, hangup.recv()).await;
--- a/crates/beechcroft-transport/src/rpc.rs
+++ b/crates/beechcroft-transport/src/rpc.rs
@@ -163,7 +163,7 @@
         }
         let read_ahead =
             Safeguard::ClientReadAhead.is_enabled() && !stream.has_read_exactly(body.len());
-        if has_own_id == Some(true) && !closes && !read_ahead && stream.is_clean() {
+        if has_own_id == Some(true) && !closes && !read_ahead && stream.is_reusable() {
             self.keep(to, stream);
         }
         Ok((response.status().into(), body))
@@ -189,7 +189,7 @@
         let mut idle = self.idle.borrow_mut();
         let idle = idle.get_mut(&to)?;
         while let Some(IdleConnection { stream, since }) = idle.pop() {
-            if since.elapsed() < MAX_IDLE && stream.is_clean() {
+            if since.elapsed() < MAX_IDLE && stream.is_reusable() {
                 return Some(stream);
             }
         }
--- a/crates/beechcroft-transport/src/server.rs
+++ b/crates/beechcroft-transport/src/server.rs
@@ -59,15 +59,15 @@
 impl Caller {
     /// Ends once the caller has closed its side: it no longer waits, and may have made the same call elsewhere by now.
     /// Only to be awaited while the call is worked on.
-    pub async fn gone(&self) {
+    pub async fn disconnected(&self) {
         self.0.closed_by_peer().await
     }
 
     /// Whether the caller has closed its side already.
-    pub async fn is_gone(&self) -> bool {
+    pub async fn is_disconnected(&self) -> bool {
         tokio::select! {
             biased;
-            () = self.gone() => true,
+            () = self.disconnected() => true,
             () = std::future::ready(()) => false,
         }
     }
