--- a/crates/beechcroft-transport/src/calls.rs
+++ b/crates/beechcroft-transport/src/calls.rs
@@ -1,33 +1,34 @@
-//! The one table of the calls that units, operators, clients and the platform make.
+//! The HTTP API of the control nodes and proxies: one table that maps method and path to a call. Units, operators,
+//! clients of the directory and the platform's readiness probe make these calls.
 
-/// A call, with the part of its path that varies.
+/// A call, with the variable segment of its path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApiCall {
-    /// A unit's heartbeat: the unit's id.
+    /// A heartbeat of the unit with this id.
     Heartbeat(String),
-    /// A unit ends: the unit's id.
+    /// The deregistration of the unit with this id.
     Deregister(String),
-    /// A whole configuration.
+    /// Replaces the whole configuration.
     ReplaceConfig,
-    /// The newest configuration is asked for.
+    /// Returns the newest configuration.
     ShowConfig,
-    /// A rollout is to begin.
+    /// Begins a rollout.
     BeginRollout,
-    /// The state of a rollout is asked for: the service.
+    /// Returns the state of the rollout of this service.
     ShowRollout(String),
-    /// A zone is to be evacuated: the zone.
+    /// Begins the evacuation of this zone.
     BeginEvacuation(String),
-    /// A zone is to be taken back: the zone.
+    /// Ends the evacuation of this zone, so that it takes traffic again.
     FinishEvacuation(String),
-    /// A client asks where to go.
+    /// Resolves a client's request to the proxies that it may use.
     Resolve,
-    /// Whether the node is ready is asked for.
+    /// The readiness probe.
     Ready,
 }
 
 type Constructor = fn(String) -> ApiCall;
 
-/// Method, path with `*` for the part that varies, and the call.
+/// Method, path pattern with `*` for the variable segment, and the constructor of the call.
 const TABLE: [(&str, &str, Constructor); 10] = [
     ("POST", "/units/*/heartbeat", ApiCall::Heartbeat),
     ("POST", "/units/*/deregister", ApiCall::Deregister),
@@ -42,19 +43,19 @@
 ];
 
 impl ApiCall {
-    /// The call that a method and a path make.
+    /// Looks up the call for a method and a whole path. `None` if there is no such call.
     pub fn parse(method: &str, path: &str) -> Option<ApiCall> {
-        let same_method = TABLE.iter().filter(|(named, ..)| *named == method);
-        let mut found = same_method.filter_map(|(_, pattern, constructor)| {
-            let part = varying_part(pattern, path)?;
-            (!part.contains('/')).then(|| constructor(part.to_owned()))
+        let same_method = TABLE.iter().filter(|(entry, ..)| *entry == method);
+        let mut matches = same_method.filter_map(|(_, pattern, constructor)| {
+            let segment = variable_segment(pattern, path)?;
+            (!segment.contains('/')).then(|| constructor(segment.to_owned()))
         });
-        found.next()
+        matches.next()
     }
 }
 
-/// The part of a path that stands for `*`; empty for a pattern without one.
-fn varying_part<'a>(pattern: &str, path: &'a str) -> Option<&'a str> {
+/// The part of a path that matches the `*` of a pattern; empty for a pattern without one.
+fn variable_segment<'a>(pattern: &str, path: &'a str) -> Option<&'a str> {
     match pattern.split_once('*') {
         None => (path == pattern).then_some(""),
         Some((before, after)) => path.strip_prefix(before)?.strip_suffix(after),
--- a/crates/beechcroft-transport/src/connection.rs
+++ b/crates/beechcroft-transport/src/connection.rs
@@ -1,32 +1,33 @@
-//! A connection that forwards requests: unread bytes beside the socket, and bodies that are counted as they pass.
+//! Connections on which the proxy forwards requests: a socket with its read buffer, and a body reader that checks each
+//! body against the framing in its head.
 
 use crate::http_validation::Framing;
 use crate::Stream;
 use std::io;
 
-/// Bytes that are read at a time while a message is under way.
+/// Buffer space reserved for each further read of a message, in bytes.
 const READ_BYTES: usize = 16 << 10;
-/// Bytes that are read at first: a head or a small response.
+/// Buffer space reserved for the first read, in bytes: enough for a head or a small response.
 const FIRST_READ_BYTES: usize = 4 << 10;
-/// The longest line that states a chunk's size, in bytes.
+/// The longest chunk-size line, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 /// The longest trailer line, in bytes.
 const MAX_TRAILER_LINE_BYTES: usize = 8 << 10;
-/// The end of a line.
+/// The line terminator of HTTP/1.1.
 const LINE_END: &[u8] = b"\r\n";
 
 /// A connection to a client or to a unit.
 #[derive(Debug)]
 pub struct Connection {
-    /// The socket.
+    /// The socket, or its simulated counterpart.
     pub stream: Stream,
     buffer: Vec<u8>,
-    /// Bytes at the start of the buffer that were consumed.
+    /// Length of the consumed prefix of the buffer, in bytes.
     consumed: usize,
 }
 
 impl Connection {
-    /// Takes a socket over.
+    /// Wraps a stream and disables Nagle's algorithm on it.
     pub fn new(stream: Stream) -> Connection {
         stream.set_nodelay();
         Connection {
@@ -36,12 +37,12 @@
         }
     }
 
-    /// Bytes that were read and not consumed.
+    /// Bytes that have been read but not consumed.
     pub fn unread(&self) -> &[u8] {
         &self.buffer[self.consumed..]
     }
 
-    /// Consumes unread bytes.
+    /// Marks unread bytes as consumed.
     pub fn consume(&mut self, bytes: usize) {
         self.consumed += bytes;
         if self.consumed == self.buffer.len() {
@@ -50,14 +51,14 @@
         }
     }
 
-    /// Releases the memory of an idle connection.
+    /// Frees the read buffer of an idle connection, unless it holds unread bytes.
     pub fn release_buffer(&mut self) {
         if self.unread().is_empty() {
             (self.buffer, self.consumed) = (Vec::new(), 0);
         }
     }
 
-    /// Reads more. 0 once the peer has closed the connection.
+    /// Reads more bytes into the buffer. Returns 0 once the peer has closed the connection.
     pub async fn read_more(&mut self) -> io::Result<usize> {
         if self.consumed > 0 {
             self.buffer.drain(..self.consumed);
@@ -74,7 +75,7 @@
         self.stream.read_buf(&mut self.buffer).await
     }
 
-    /// Whether nothing is unread and the peer has not closed the connection: only then may a request go out on it.
+    /// Whether the connection may carry another request: nothing is unread, and the peer has not closed it.
     pub fn is_reusable(&self) -> bool {
         let mut byte = [0; 1];
         let would_block = |e: io::Error| e.kind() == io::ErrorKind::WouldBlock;
@@ -87,34 +88,34 @@
     }
 }
 
-/// What is to be read next of a body.
+/// What the body reader expects next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyState {
-    /// So many bytes.
+    /// This many more bytes of a body with a stated length.
     Length(u64),
     ChunkSize,
-    /// So many bytes of a chunk.
+    /// This many more bytes of the current chunk.
     ChunkData(u64),
     ChunkEnd,
     Trailer,
-    /// Everything until the connection closes.
+    /// All bytes until the peer closes the connection.
     UntilClose,
     Done,
 }
 
-/// Reads one body off a connection and counts it.
+/// Reads one body from a connection and counts its bytes.
 #[derive(Debug)]
 pub struct BodyReader {
     state: BodyState,
     bytes_read: u64,
 }
 
-/// A body is not what its head says, or the connection broke.
+/// A body does not match the framing in its head, or its connection broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// The connection ended before the body.
+    /// The connection ended before the body was complete.
     Truncated,
-    /// The bytes are not in the protocol.
+    /// The chunked encoding is invalid.
     Malformed,
 }
 
@@ -154,16 +155,20 @@
         self.bytes_read
     }
 
-    /// Appends a part of the body to `out`. Reads from the socket only if nothing of it is there yet.
+    /// Appends the next part of the body to `out`. Reads from the socket only if the buffer holds nothing of the body.
+    ///
+    /// # Errors
+    ///
+    /// [`BodyError`] if the body is cut off or malformed.
     pub async fn read(
         &mut self,
         connection: &mut Connection,
         out: &mut Vec<u8>,
     ) -> Result<(), BodyError> {
         loop {
-            let before = out.len();
+            let length_before = out.len();
             self.take_unread(connection, out)?;
-            if self.is_done() || out.len() > before {
+            if self.is_done() || out.len() > length_before {
                 return Ok(());
             }
             match connection.read_more().await {
@@ -177,17 +182,17 @@
         }
     }
 
-    /// Takes what has been read off the socket, as far as it goes.
+    /// Decodes as much of the body as the buffer holds.
     fn take_unread(
         &mut self,
         connection: &mut Connection,
         out: &mut Vec<u8>,
     ) -> Result<(), BodyError> {
         loop {
-            let goes_on = match self.state {
+            let made_progress = match self.state {
                 BodyState::Done => false,
-                BodyState::Length(left) | BodyState::ChunkData(left) => {
-                    self.take_data(connection, out, left)
+                BodyState::Length(remaining) | BodyState::ChunkData(remaining) => {
+                    self.take_data(connection, out, remaining)
                 }
                 BodyState::UntilClose => {
                     let bytes = connection.unread().len();
@@ -198,7 +203,7 @@
                 BodyState::ChunkEnd => self.take_chunk_end(connection)?,
                 BodyState::Trailer => self.take_trailer(connection)?,
             };
-            if !goes_on {
+            if !made_progress {
                 return Ok(());
             }
         }
@@ -210,18 +215,23 @@
         self.bytes_read += bytes as u64;
     }
 
-    fn take_data(&mut self, connection: &mut Connection, out: &mut Vec<u8>, left: u64) -> bool {
-        let bytes = (connection.unread().len() as u64).min(left) as usize;
+    fn take_data(
+        &mut self,
+        connection: &mut Connection,
+        out: &mut Vec<u8>,
+        remaining: u64,
+    ) -> bool {
+        let bytes = (connection.unread().len() as u64).min(remaining) as usize;
         if bytes == 0 {
             return false;
         }
         self.take_bytes(connection, out, bytes);
-        let left = left - bytes as u64;
-        self.state = match (self.state, left) {
+        let remaining = remaining - bytes as u64;
+        self.state = match (self.state, remaining) {
             (BodyState::Length(_), 0) => BodyState::Done,
-            (BodyState::Length(_), left) => BodyState::Length(left),
+            (BodyState::Length(_), remaining) => BodyState::Length(remaining),
             (_, 0) => BodyState::ChunkEnd,
-            (_, left) => BodyState::ChunkData(left),
+            (_, remaining) => BodyState::ChunkData(remaining),
         };
         true
     }
@@ -256,7 +266,7 @@
         Ok(true)
     }
 
-    /// Trailers are skipped. The empty line ends them.
+    /// Skips one trailer line. The empty line ends the trailers and the body.
     fn take_trailer(&mut self, connection: &mut Connection) -> Result<bool, BodyError> {
         let unread = connection.unread();
         let Some(line_bytes) = unread
--- a/crates/beechcroft-transport/src/datagram.rs
+++ b/crates/beechcroft-transport/src/datagram.rs
@@ -1,11 +1,11 @@
-//! Gossip messages, one to a datagram.
+//! Gossip over UDP: one postcard-encoded message per datagram.
 
 use crate::runtime::{DatagramSocket, Runtime};
 use beechcroft_gossip::Message;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-/// The longest datagram that is read, in bytes.
+/// Size of the receive buffer, in bytes. Longer datagrams are truncated and do not decode.
 const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 
 /// A socket for gossip messages. Clones share it.
@@ -13,7 +13,7 @@
 pub struct MessageSocket(Rc<DatagramSocket>);
 
 impl MessageSocket {
-    /// Binds the socket.
+    /// Binds a socket to an address. Retries for a while, as sockets of a previous process may linger.
     pub async fn bind(runtime: &Runtime, address: SocketAddrV4) -> std::io::Result<MessageSocket> {
         runtime
             .bind_datagrams(address)
@@ -21,14 +21,15 @@
             .map(|socket| MessageSocket(Rc::new(socket)))
     }
 
-    /// Sends a message. One that cannot be sent now is lost like any other: anti-entropy repairs that.
+    /// Sends a message without waiting. A message that cannot be sent now is dropped like any lost datagram;
+    /// anti-entropy makes up for it.
     pub fn send(&self, to: SocketAddrV4, message: &Message) {
         if let Ok(bytes) = postcard::to_stdvec(message) {
             self.0.send(to, bytes);
         }
     }
 
-    /// The next valid message, and where it came from.
+    /// Receives the next valid message and its sender's address.
     pub async fn receive(&self) -> (SocketAddrV4, Message) {
         let mut buf = vec![0; MAX_DATAGRAM_BYTES];
         loop {
@@ -37,7 +38,7 @@
             };
             match postcard::from_bytes(&buf[..length]) {
                 Ok(message) => return (from, message),
-                Err(e) => log::debug!("datagram: What {from} sent is no message: {e}."),
+                Err(e) => log::debug!("datagram: Undecodable message from {from}: {e}."),
             }
         }
     }
--- a/crates/beechcroft-transport/src/http_stream.rs
+++ b/crates/beechcroft-transport/src/http_stream.rs
@@ -1,4 +1,4 @@
-//! A connection as async-h1 wants it: cloned for its two directions.
+//! The stream type that async-h1 reads from and writes to: cloned for the two directions, and counting what is read.
 
 use crate::Stream;
 use futures_lite::io::{AsyncRead, AsyncWrite};
@@ -7,17 +7,18 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{ready, Context, Poll};
 
-/// The end of a head.
+/// The bytes that end a head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// How much was read of the current message. async-h1 reads ahead into a buffer of its own, which it drops with the
-/// message: what lay in it behind the message's end would be missing from the next one.
+/// How much has been read since the current message began. async-h1 reads ahead into its own buffer and drops that
+/// buffer with the message, so bytes after the message's end would be missing from the next message. Counting shows
+/// whether that has happened.
 #[derive(Debug, Default)]
 struct ReadProgress {
     bytes_read: u64,
-    /// Bytes of the head, once its end was read.
+    /// Length of the head in bytes, once its end has been read.
     head_bytes: Option<u64>,
-    /// How many of the last bytes may be the beginning of the head's end.
+    /// How many of the last bytes match the beginning of [`HEAD_END`].
     matched: usize,
 }
 
@@ -40,7 +41,7 @@
     }
 }
 
-/// A connection that counts what is read of the current message. Clones share it.
+/// A connection that counts the bytes read of the current message. Clones share the connection and the count.
 #[derive(Clone, Debug)]
 pub struct HttpStream {
     stream: Arc<Stream>,
@@ -48,7 +49,7 @@
 }
 
 impl HttpStream {
-    /// Takes a connection over.
+    /// Wraps a stream and disables Nagle's algorithm on it.
     pub fn new(stream: Stream) -> HttpStream {
         stream.set_nodelay();
         HttpStream {
@@ -57,26 +58,26 @@
         }
     }
 
-    /// A message is to be read from here on.
+    /// Restarts the count: the next byte read is the first of a new message.
     pub fn begin_message(&self) {
         *self.progress() = ReadProgress::default();
     }
 
-    /// Whether a head and a body of so many bytes were read, and nothing behind them.
+    /// Whether exactly one head and a body of `body_bytes` have been read, and nothing after them.
     pub fn has_read_exactly(&self, body_bytes: usize) -> bool {
         let progress = self.progress();
         let expected = progress.head_bytes.map(|head| head + body_bytes as u64);
         expected == Some(progress.bytes_read)
     }
 
-    /// Whether nothing is unread and the peer has not closed the connection.
+    /// Whether the connection may carry another message: nothing is unread, and the peer has not closed it.
     pub fn is_reusable(&self) -> bool {
         let mut byte = [0; 1];
         let read = self.stream.try_read(&mut byte);
         matches!(read, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Ends once the peer has closed or broken the connection.
+    /// Completes once the peer has closed the connection or the connection has broken.
     pub async fn closed_by_peer(&self) {
         self.stream.closed_by_peer().await
     }
--- a/crates/beechcroft-transport/src/http_validation.rs
+++ b/crates/beechcroft-transport/src/http_validation.rs
@@ -1,24 +1,25 @@
-//! Heads of requests and responses that are forwarded: parsed by httparse, judged here.
+//! Heads of forwarded requests and responses: parsed by httparse, validated here.
 //!
-//! Whatever could be read in two ways is rejected: several lengths that differ, a length beside chunks, codings other
-//! than chunked. Raw targets and header values are passed on as they came.
+//! Ambiguous framing is rejected, because two parsers could disagree on where a message ends (request smuggling):
+//! differing lengths, a length together with chunked encoding, and transfer codings other than chunked. Raw targets and
+//! header values are forwarded unchanged.
 
 use beechcroft_error::ErrorKind;
 use beechcroft_safeguards::Safeguard;
 use httparse::Header;
 
-/// How the body after a head is told apart from the next head.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes.
+    /// A `Content-Length` of this many bytes.
     Length(u64),
-    /// Chunks.
+    /// Chunked transfer encoding.
     Chunked,
-    /// Until the connection closes: only responses may say so.
+    /// The body lasts until the connection closes; only responses may use this.
     UntilClose,
 }
 
-/// Headers that concern one connection, or that the proxy sets itself.
+/// Headers that are not forwarded: they concern one connection only, or the proxy sets them itself.
 const HOP_HEADERS: [&str; 11] = [
     "connection",
     "keep-alive",
@@ -32,7 +33,7 @@
     "beechcroft-time-budget",
     "beechcroft-target-unit",
 ];
-/// Headers of a head.
+/// The most headers that a head may have.
 const MAX_HEADERS: usize = 96;
 /// The longest head of a response, in bytes.
 const MAX_RESPONSE_HEAD_BYTES: usize = 64 << 10;
@@ -42,44 +43,44 @@
 pub struct RequestHead {
     /// The method.
     pub method: String,
-    /// The raw target.
+    /// The raw request target.
     pub target: String,
-    /// The host.
+    /// The value of `Host`.
     pub host: String,
-    /// `Beechcroft-Attempt-Id`.
+    /// The value of `Beechcroft-Attempt-Id`.
     pub attempt_id: Option<String>,
-    /// `Beechcroft-Time-Budget`, in milliseconds.
+    /// The value of `Beechcroft-Time-Budget`, in milliseconds.
     pub budget_ms: Option<u64>,
     /// The framing of the body; `None` without a body.
     pub framing: Option<Framing>,
     /// Whether the client wants to keep the connection.
     pub keep_alive: bool,
-    /// Whether the client waits for 100 before it sends the body.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// The header lines that are passed on.
+    /// The header lines to forward.
     pub forwarded_headers: Vec<u8>,
 }
 
 impl RequestHead {
-    /// The value of a header that is passed on.
+    /// The value of a forwarded header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let lines = self.forwarded_headers.split(|&byte| byte == b'\n');
         let lines = lines.filter_map(|line| std::str::from_utf8(line).ok());
         let mut pairs = lines.filter_map(|line| line.split_once(':'));
         pairs
-            .find(|(of, _)| of.eq_ignore_ascii_case(name))
+            .find(|(key, _)| key.eq_ignore_ascii_case(name))
             .map(|(_, value)| value.trim())
     }
 }
 
-/// A unit's load by its own report: `Beechcroft-Unit-Load`.
+/// The load that a unit reports in `Beechcroft-Unit-Load`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnitLoad {
-    /// Requests that it works on.
+    /// Requests that the unit is executing.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests in the unit's queue.
     pub waiting: u32,
-    /// Requests that it can work on at once.
+    /// Requests that the unit can execute concurrently.
     pub slots: u32,
 }
 
@@ -102,48 +103,48 @@
     pub status: u16,
     /// The reason phrase.
     pub reason: String,
-    /// `Beechcroft-Attempt-Id`.
+    /// The value of `Beechcroft-Attempt-Id`.
     pub attempt_id: Option<String>,
-    /// `Beechcroft-Unit-Id`.
+    /// The value of `Beechcroft-Unit-Id`.
     pub unit_id: Option<String>,
-    /// Whether a unit has sealed it: `Beechcroft-Server-Seal`.
+    /// Whether the response carries a unit's seal, `Beechcroft-Server-Seal`.
     pub is_sealed: bool,
-    /// Whether its body has a coding.
+    /// Whether the body has a content coding other than `identity`.
     pub is_encoded: bool,
-    /// Whether the unit says that it did not execute the request: `Beechcroft-Not-Executed`.
+    /// Whether the unit states in `Beechcroft-Not-Executed` that it did not execute the request.
     pub not_executed: bool,
-    /// The unit's load.
+    /// The load that the unit reports.
     pub load: Option<UnitLoad>,
-    /// For how long the unit is still warming up, in milliseconds: `Beechcroft-Warmup-Remaining`.
+    /// How much longer the unit is warming up, in milliseconds, from `Beechcroft-Warmup-Remaining`.
     pub warmup_left_ms: Option<u64>,
-    /// For how long the unit keeps an idle connection, in seconds.
+    /// How long the unit keeps an idle connection open, in seconds, from `Keep-Alive`.
     pub keep_alive_s: Option<u64>,
-    /// Whether the unit closes the connection.
+    /// Whether the unit closes the connection after the response.
     pub closes: bool,
     /// The framing of the body.
     pub framing: Option<Framing>,
-    /// The header lines that are passed on.
+    /// The header lines to forward.
     pub forwarded_headers: Vec<u8>,
 }
 
 /// The result of parsing a head.
 #[derive(Debug)]
 pub enum Parsed<T> {
-    /// The head, and its length in bytes.
+    /// A complete head, and its length in bytes.
     Complete(T, usize),
     /// More bytes are needed.
     Incomplete,
-    /// It cannot be accepted.
+    /// The head is rejected with this error.
     Invalid(ErrorKind),
 }
 
-/// What requests and responses have in common.
+/// The headers on framing and connection handling, which requests and responses share.
 #[derive(Default)]
 struct ConnectionHeaders {
     framing: Option<Framing>,
     closes: bool,
     keeps_alive: bool,
-    /// Headers that `Connection` names: they are not passed on.
+    /// Headers named in `Connection`, which are not forwarded.
     named: Vec<String>,
 }
 
@@ -202,18 +203,18 @@
         .map_err(|_| ErrorKind::Malformed)
 }
 
-/// Parses a `Content-Length`, which may be repeated but must not differ.
-fn parse_length(value: &str, before: Option<u64>) -> Result<u64, ErrorKind> {
-    let mut length = before;
+/// Parses a `Content-Length`. It may be repeated, also as a list, but all values must be equal to `earlier`.
+fn parse_length(value: &str, earlier: Option<u64>) -> Result<u64, ErrorKind> {
+    let mut length = earlier;
     for part in value.split(',').map(str::trim) {
         if part.is_empty() || !part.bytes().all(|byte| byte.is_ascii_digit()) {
             return Err(ErrorKind::Malformed);
         }
-        let stated: u64 = part.parse().map_err(|_| ErrorKind::Malformed)?;
-        if length.is_some_and(|held| held != stated) {
+        let parsed: u64 = part.parse().map_err(|_| ErrorKind::Malformed)?;
+        if length.is_some_and(|length| length != parsed) {
             return Err(ErrorKind::Malformed);
         }
-        length = Some(stated);
+        length = Some(parsed);
     }
     length.ok_or(ErrorKind::Malformed)
 }
@@ -334,7 +335,7 @@
     Some(head)
 }
 
-/// Reads a header that the proxy uses itself. `None` if the response cannot be accepted.
+/// Reads a header that the proxy itself uses. `None` if the response must be rejected.
 fn read_response_header(head: &mut ResponseHead, header: &Header) -> Option<()> {
     let value = header.value;
     if is_named(header, "beechcroft-attempt-id") {
--- a/crates/beechcroft-transport/src/lib.rs
+++ b/crates/beechcroft-transport/src/lib.rs
@@ -1,14 +1,14 @@
-//! Transport: listeners, connections and calls between processes, on real sockets or in the simulator.
+//! Transport: listeners, connections and RPCs between processes, on real sockets or in the simulator.
 //!
-//! - Calls of units, operators and clients of the directory, and calls between nodes, go through async-h1 with checks
-//!   around it: [`server`] and [`rpc`]. [`calls`] is the one table of calls.
-//! - Requests that are forwarded go through [`connection`]: heads are parsed by httparse (the parser under async-h1) and
-//!   judged by [`http_validation`], and bodies are counted against what their heads say.
-//! - Gossip goes through [`datagram`].
-//! - [`runtime`] is what all of these stand on: this machine's sockets and clocks, or the simulator's.
-//! - [`lifecycle`] is what both programs do with signals, settings files and the queues of their state owners.
+//! - [`server`] and [`rpc`] serve and make calls: those of units, operators and clients of the directory, and RPCs
+//!   between nodes. Both use async-h1 with additional checks. [`calls`] is the table of the HTTP API.
+//! - [`connection`] carries forwarded requests. Heads are parsed by httparse (the parser that async-h1 uses) and
+//!   validated by [`http_validation`]; bodies are checked against the framing in their heads.
+//! - [`datagram`] carries gossip.
+//! - [`runtime`] abstracts over this machine's sockets and clocks and the simulator's.
+//! - [`lifecycle`] handles signals, settings files and the inputs of the state owners for both programs.
 //!
-//! `docs/design/transport.md` has the table of what async-h1 does with each hazard.
+//! `docs/design/transport.md` lists each protocol hazard and what async-h1 does with it.
 
 #![warn(missing_docs)]
 
--- a/crates/beechcroft-transport/src/lifecycle.rs
+++ b/crates/beechcroft-transport/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! What both programs do with files, signals and time: check files, follow a settings file that changes, and feed the
-//! queue of a state owner.
+//! What the control node and the proxy share at start-up and run time: checking files, handling signals, reloading a
+//! changed settings file, and feeding the queue of a state owner.
 
 use crate::datagram::MessageSocket;
 use crate::runtime::Runtime;
@@ -15,21 +15,21 @@
 use tokio::task::spawn_local;
 use tokio::time::MissedTickBehavior;
 
-/// How often the settings file is looked at without a signal.
+/// How often the settings file is checked for changes without a signal.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a program stands on, and what reaches it from outside.
+/// The environment of a program: its runtime, and the events that reach it from outside.
 pub struct Environment {
-    /// Sockets and clocks.
+    /// Sockets and clocks, real or simulated.
     pub runtime: Runtime,
-    /// Ends once the program is to shut down.
+    /// Completes when the program is to shut down.
     pub shutdown: Pin<Box<dyn Future<Output = ()>>>,
-    /// The seeds of a settings file that has changed.
+    /// The new seed nodes, each time they change in the settings file.
     pub seeds: UnboundedReceiver<Vec<SocketAddrV4>>,
 }
 
 impl Environment {
-    /// This machine's sockets and signals, and its settings file.
+    /// The environment of a real process: this machine's sockets, SIGTERM, and the settings file.
     pub fn real(settings: &Settings) -> Environment {
         let (sender, seeds) = unbounded_channel();
         spawn_local(follow_settings(settings.clone(), move |seeds| {
@@ -39,7 +39,7 @@
             match signal(SignalKind::terminate()) {
                 Ok(mut terminate) => drop(terminate.recv().await),
                 Err(e) => {
-                    log::warn!("lifecycle: SIGTERM cannot be heard: {e}.");
+                    log::warn!("lifecycle: Cannot install a handler for SIGTERM: {e}.");
                     std::future::pending().await
                 }
             }
@@ -52,7 +52,11 @@
     }
 }
 
-/// Checks a settings file (.toml) or a configuration (.json). A fault is named by its key or route.
+/// Checks a settings file (`.toml`) or a configuration (`.json`), and prints a line if it is valid.
+///
+/// # Errors
+///
+/// The path, and the key or route at fault.
 pub fn check_file(path: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let checked = if path
@@ -65,14 +69,14 @@
     } else {
         Settings::read(&text).map(drop)
     };
-    checked.map_err(|fault| format!("{}: {fault}", path.display()))?;
+    checked.map_err(|error| format!("{}: {error}", path.display()))?;
     println!("{}: sound", path.display());
     Ok(())
 }
 
-/// Reads the settings file again after SIGHUP, or after it changed without one. The seeds may be others; everything
-/// else holds until the next start.
-async fn follow_settings(mut held: Settings, on_seeds: impl Fn(Vec<SocketAddrV4>)) {
+/// Reloads the settings file on SIGHUP, and also when it changes without a signal. Only the seed nodes take effect at
+/// once; all other settings apply from the next start.
+async fn follow_settings(mut current: Settings, on_seeds: impl Fn(Vec<SocketAddrV4>)) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
     };
@@ -89,31 +93,32 @@
         text = new_text;
         match Settings::read(&text) {
             Ok(new) => {
-                if new.seed_nodes != held.seed_nodes {
+                if new.seed_nodes != current.seed_nodes {
                     on_seeds(new.seed_nodes.clone());
                 }
-                held = new;
+                current = new;
             }
-            Err(fault) => log::warn!("settings: The changed file is not used: {fault}."),
+            Err(error) => log::warn!("settings: Changed file ignored: {error}."),
         }
     }
 }
 
-/// How a state owner wants its inputs: as commands of its own.
+/// How the inputs of a state owner are turned into its commands.
 pub struct OwnerInputs<C> {
     /// The owner's queue.
     pub queue: UnboundedSender<C>,
-    /// Between two ticks.
+    /// The interval between two ticks.
     pub tick_interval: Duration,
-    /// The command of a gossip message.
+    /// Makes the command for a gossip message from an address.
     pub on_message: fn(SocketAddrV4, Box<Message>) -> C,
-    /// The command of a tick.
+    /// Makes the command for a tick.
     pub on_tick: fn() -> C,
-    /// The command of new seeds.
+    /// Makes the command for changed seed nodes.
     pub on_seeds: fn(Vec<SocketAddrV4>) -> C,
 }
 
-/// Feeds gossip messages, ticks and new seeds into the queue of a state owner for as long as the program runs.
+/// Spawns the tasks that feed gossip messages, ticks and changed seed nodes into the queue of a state owner. They run
+/// until the program ends.
 pub fn spawn_inputs<C: 'static>(
     socket: MessageSocket,
     mut seeds: UnboundedReceiver<Vec<SocketAddrV4>>,
--- a/crates/beechcroft-transport/src/rpc.rs
+++ b/crates/beechcroft-transport/src/rpc.rs
@@ -1,4 +1,4 @@
-//! Calls from this node to other nodes, by async-h1, on connections that are kept.
+//! RPCs between nodes: HTTP calls through async-h1 on pooled connections.
 
 use crate::{HttpStream, Runtime};
 use beechcroft_consensus::{PerRegister, RegisterId, Revision, Value};
@@ -14,38 +14,38 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// How long an idle connection is kept: less than any server's patience with one.
+/// How long an idle connection is kept. Shorter than the idle timeout of any server, so that the client closes first.
 const MAX_IDLE: Duration = Duration::from_secs(8);
-/// Idle connections to one node.
+/// The most idle connections kept to one node.
 const MAX_IDLE_CONNECTIONS: usize = 3;
-/// The header with the id of a call. The server returns it with the response.
+/// The header with the id of a call. The server copies it into the response.
 pub const CALL_ID_HEADER: &str = "beechcroft-call-id";
 
-/// Paths of the calls between nodes.
+/// Paths of the RPCs between nodes.
 pub mod paths {
-    /// A consensus request: body and response in postcard form.
+    /// A consensus request. Body and response are postcard-encoded.
     pub const CONSENSUS: &str = "/ask";
-    /// The latest known value of a register: one byte with the register's index.
+    /// The latest known value of a register. The body is one byte, the register's index.
     pub const REGISTER: &str = "/copy";
-    /// The revisions of the registers, read from a majority.
+    /// The revisions of all registers, read from a majority.
     pub const REVISIONS: &str = "/revisions";
-    /// A drain or an end of an endpoint, to be stored before it is acknowledged.
+    /// A drain or deregistration of an endpoint, which the receiver stores before it acknowledges it.
     pub const ENDPOINT: &str = "/unit";
-    /// A proxy's vote to roll back: the service and the rollout's id.
+    /// A proxy's vote to roll back. The body names the service and the rollout's id.
     pub const ROLLBACK: &str = "/back";
     /// The evidence on an endpoint, as text.
     pub const EVIDENCE: &str = "/why";
-    /// What the node knows, as text.
+    /// The node's view of the system, as text.
     pub const SHOW: &str = "/show";
 }
 
-/// An idle connection, and when it was last used.
+/// An idle connection, with the time at which it became idle.
 struct IdleConnection {
     stream: HttpStream,
     since: Instant,
 }
 
-/// A client of other nodes, with its idle connections. Clones share them.
+/// A client for RPCs to other nodes, with a pool of idle connections. Clones share the pool.
 #[derive(Clone, Default)]
 pub struct RpcClient {
     idle: Rc<RefCell<HashMap<SocketAddrV4, Vec<IdleConnection>>>>,
@@ -54,7 +54,7 @@
 }
 
 impl RpcClient {
-    /// A client on a runtime.
+    /// A client with an empty pool that connects through this runtime.
     pub fn new(runtime: Runtime) -> RpcClient {
         RpcClient {
             runtime,
@@ -62,17 +62,17 @@
         }
     }
 
-    /// The runtime that it stands on.
+    /// The runtime through which the client connects.
     pub fn runtime(&self) -> &Runtime {
         &self.runtime
     }
 
-    /// Makes one call: the body of a response with status 200.
+    /// Makes one call and returns the body of a response with status 200.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::ResponseLost`] if no response came in time, or one with another status. The call may have been
-    /// carried out.
+    /// executed nevertheless.
     pub async fn call(
         &self,
         to: SocketAddrV4,
@@ -81,16 +81,19 @@
         within: Duration,
     ) -> Result<Vec<u8>, Error> {
         let lost =
-            |what: String| Error::new(ErrorKind::ResponseLost, format!("{to}{path}: {what}"));
+            |reason: String| Error::new(ErrorKind::ResponseLost, format!("{to}{path}: {reason}"));
         match timeout(within, self.exchange(to, path, body)).await {
-            Err(_) => Err(lost(format!("no answer within {} ms", within.as_millis()))),
+            Err(_) => Err(lost(format!(
+                "no response within {} ms",
+                within.as_millis()
+            ))),
             Ok(Err(e)) => Err(lost(e.to_string())),
             Ok(Ok((200, body))) => Ok(body),
             Ok(Ok((status, _))) => Err(lost(format!("status {status}"))),
         }
     }
 
-    /// Makes a call whose response is in postcard form.
+    /// Makes a call whose response is postcard-encoded.
     async fn call_for<T: DeserializeOwned>(
         &self,
         to: SocketAddrV4,
@@ -102,7 +105,11 @@
         postcard::from_bytes(&bytes).map_err(|e| Error::new(ErrorKind::Malformed, e.to_string()))
     }
 
-    /// Fetches another node's latest known value of a register.
+    /// Fetches the value of a register that another node has last learned.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`RpcClient::call`], and [`ErrorKind::Malformed`] if the response cannot be decoded.
     pub async fn fetch_register(
         &self,
         from: SocketAddrV4,
@@ -113,7 +120,11 @@
         self.call_for(from, paths::REGISTER, body, within).await
     }
 
-    /// The registers' revisions, as a control node reads them from a majority.
+    /// Fetches the revisions of all registers, which a control node reads from a majority.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`RpcClient::call`], and [`ErrorKind::Malformed`] if the response cannot be decoded.
     pub async fn read_revisions(
         &self,
         from: SocketAddrV4,
@@ -123,8 +134,9 @@
             .await
     }
 
-    /// Sends a request and reads its response. Whatever ends this early takes its connection with it: only a connection
-    /// with a complete response to this call, and nothing behind it, is kept.
+    /// Sends a request and reads its response. The connection returns to the pool only after a complete response to
+    /// this call with nothing after it. On an error or a time-out it is closed, so that a late response cannot be taken
+    /// for that of another call.
     async fn exchange(
         &self,
         to: SocketAddrV4,
@@ -144,9 +156,9 @@
         let has_own_id = response
             .header(CALL_ID_HEADER)
             .map(|id| id.as_str() == call_id);
-        // A node of an older release returns no id: the first response on a connection belongs to the call anyway.
+        // Nodes of older releases return no id. The first response on a new connection must belong to this call.
         if !has_own_id.unwrap_or(is_new) && Safeguard::RpcIds.is_enabled() {
-            return Err(http_types::format_err!("an answer to another call"));
+            return Err(http_types::format_err!("response to another call"));
         }
         let connection = response.header("connection");
         let closes = connection.is_some_and(|v| v.as_str().eq_ignore_ascii_case("close"));
@@ -154,10 +166,10 @@
         let length = length.and_then(|v| v.as_str().parse::<usize>().ok());
         let mut body = Vec::new();
         response.take_body().read_to_end(&mut body).await?;
-        // async-h1 takes a body that breaks off for a complete one.
+        // async-h1 accepts a truncated body as a complete one.
         if length != Some(body.len()) {
             return Err(http_types::format_err!(
-                "the answer ends after {} bytes",
+                "response truncated after {} bytes",
                 body.len()
             ));
         }
@@ -197,20 +209,21 @@
     }
 }
 
-/// Fetches newer values of registers from peers, one fetch for each register at a time.
+/// Fetches newer values of registers from peers, with at most one fetch in flight for each register.
 #[derive(Default)]
 pub struct RegisterFetcher {
-    /// Until when a fetch is taken to be under way, in the owner's milliseconds.
+    /// Until when a fetch counts as in flight, in milliseconds of the state owner's clock.
     busy_until: PerRegister<u64>,
 }
 
-/// How long a fetch may take.
+/// Time-out of a fetch.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(1500);
-/// After so long another peer may be asked, in milliseconds.
+/// How long after the start of a fetch the register may be fetched from another peer, in milliseconds.
 const FETCH_RETRY_MS: u64 = 750;
 
 impl RegisterFetcher {
-    /// Fetches a register, unless a fetch of it is under way. `on_fetched` gets the value.
+    /// Starts to fetch a register, unless a fetch of it is in flight at `now` (in milliseconds). `on_fetched` is called
+    /// with the value.
     pub fn fetch(
         &mut self,
         rpc: &RpcClient,
@@ -227,12 +240,12 @@
         tokio::task::spawn_local(async move {
             match rpc.fetch_register(from, register, FETCH_TIMEOUT).await {
                 Ok(value) => on_fetched(value),
-                Err(error) => log::info!("rpc: A register was not fetched: {error}."),
+                Err(error) => log::info!("rpc: Fetching a register failed: {error}."),
             }
         });
     }
 
-    /// A fetched value has come.
+    /// Ends the fetch of a register whose value has arrived, so that the next one may start at once.
     pub fn on_fetched(&mut self, register: RegisterId) {
         self.busy_until[register] = 0;
     }
--- a/crates/beechcroft-transport/src/runtime.rs
+++ b/crates/beechcroft-transport/src/runtime.rs
@@ -1,4 +1,4 @@
-//! What a program stands on: this machine's sockets and clocks, or those of a simulation. The programs are the same on
+//! Abstraction over this machine's sockets and clocks and those of a simulation. The programs run the same code on
 //! either; the simulator (`beechcroft-simulator`) is never linked into them.
 
 use std::future::Future;
@@ -14,55 +14,56 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::Mutex;
 
-/// How often a connection with unread bytes is looked at for its end.
+/// How often a connection with unread bytes is checked for having been closed by the peer.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How often binding an address is tried: sockets of a former process may linger.
+/// How many times binding an address is attempted: sockets of a previous process may linger.
 const BIND_ATTEMPTS: u32 = 102;
-/// Between two of these attempts.
+/// The pause between two of these attempts.
 const BIND_RETRY: Duration = Duration::from_millis(50);
-/// Connections that wait to be accepted.
+/// The most connections that wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
 
 /// One end of a connection in a simulation.
 pub trait SimulatedStream: Send + Sync {
-    /// Reads bytes that have come. `WouldBlock` if none have, 0 once the peer has closed the connection.
+    /// Reads available bytes. Fails with `WouldBlock` if there are none, and returns 0 once the peer has closed the
+    /// connection.
     fn try_read(&self, buf: &mut [u8]) -> io::Result<usize>;
     /// Ready once [`SimulatedStream::try_read`] would not block.
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<()>;
-    /// Ready once the peer has closed the connection, though bytes may still be unread.
+    /// Ready once the peer has closed the connection, even if bytes are still unread.
     fn poll_closed_by_peer(&self, cx: &mut Context<'_>) -> Poll<()>;
-    /// Writes some of the bytes. `WouldBlock` if none can be written.
+    /// Writes some of the bytes. Fails with `WouldBlock` if none can be written.
     fn try_write(&self, bytes: &[u8]) -> io::Result<usize>;
     /// Ready once [`SimulatedStream::try_write`] would not block.
     fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<()>;
-    /// Nothing more will be written.
+    /// Closes the write direction.
     fn shutdown_write(&self);
 }
 
-/// A result that a simulation gives later.
+/// A result that the simulation delivers later.
 type Pending<T> = Pin<Box<dyn Future<Output = io::Result<T>>>>;
 
-/// A connection that has come, and its peer.
+/// An accepted connection and its peer's address.
 pub type Accepted = (Arc<dyn SimulatedStream>, SocketAddrV4);
 
-/// A datagram, and where it came from.
+/// A datagram and its sender's address.
 pub type Datagram = (SocketAddrV4, Vec<u8>);
 
-/// A simulation, as one process in it sees it.
+/// The interface of a simulation to one of its processes.
 pub trait Simulation {
     /// Connects to an address.
     fn connect(&self, to: SocketAddrV4) -> Pending<Arc<dyn SimulatedStream>>;
-    /// Listens on an address: the connections that come.
+    /// Listens on an address and returns the queue of accepted connections.
     fn listen(&self, address: SocketAddrV4) -> io::Result<UnboundedReceiver<Accepted>>;
-    /// Binds an address for datagrams: those that come.
+    /// Binds an address for datagrams and returns the queue of received ones.
     fn bind_datagrams(&self, address: SocketAddrV4) -> io::Result<UnboundedReceiver<Datagram>>;
-    /// Sends a datagram.
+    /// Sends a datagram; it may be lost.
     fn send(&self, from: SocketAddrV4, to: SocketAddrV4, bytes: Vec<u8>);
-    /// The time of day, since 1970.
+    /// The wall-clock time since the Unix epoch.
     fn time_of_day(&self) -> Duration;
 }
 
-/// This machine, or a simulation. Clones share it.
+/// The runtime of a process: this machine, or a simulation. Clones share it.
 #[derive(Clone, Default)]
 pub struct Runtime(Option<Rc<dyn Simulation>>);
 
@@ -77,12 +78,12 @@
 }
 
 impl Runtime {
-    /// The machine that the process runs on.
+    /// A runtime on the sockets and clocks of this machine.
     pub fn real() -> Runtime {
         Runtime(None)
     }
 
-    /// A simulation.
+    /// A runtime on the sockets and clocks of a simulation.
     pub fn simulated(simulation: Rc<dyn Simulation>) -> Runtime {
         Runtime(Some(simulation))
     }
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Listens on an address. Binding it is tried for a while.
+    /// Listens on an address. Binding is retried for a few seconds.
     pub async fn listen(&self, address: SocketAddrV4) -> io::Result<Listener> {
         if let Some(simulation) = &self.0 {
             return simulation.listen(address).map(Listener::Simulated);
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Binds an address for datagrams. That is tried for a while.
+    /// Binds an address for datagrams. Binding is retried for a few seconds.
     pub(crate) async fn bind_datagrams(&self, address: SocketAddrV4) -> io::Result<DatagramSocket> {
         if let Some(simulation) = &self.0 {
             let received = Mutex::new(simulation.bind_datagrams(address)?);
@@ -136,7 +137,7 @@
         }
     }
 
-    /// The time of day, since 1970.
+    /// The wall-clock time since the Unix epoch.
     pub fn time_of_day(&self) -> Duration {
         match &self.0 {
             None => {
@@ -157,7 +158,7 @@
 }
 
 impl Listener {
-    /// The next connection, and its peer.
+    /// Accepts the next connection and returns it with its peer's address.
     pub async fn accept(&mut self) -> io::Result<(Stream, SocketAddr)> {
         match self {
             Listener::Socket(listener) => listener
@@ -198,7 +199,8 @@
         }
     }
 
-    /// The next datagram's origin and length. No more of it is read than the buffer holds.
+    /// Receives the next datagram into `buf` and returns its sender's address and its length. A datagram longer than
+    /// the buffer is truncated.
     pub(crate) async fn receive(&self, buf: &mut [u8]) -> Option<(SocketAddrV4, usize)> {
         match self {
             DatagramSocket::Socket(socket) => match socket.recv_from(buf).await {
@@ -243,14 +245,15 @@
 }
 
 impl Stream {
-    /// Has small writes sent at once.
+    /// Disables Nagle's algorithm, so that small writes are sent at once.
     pub fn set_nodelay(&self) {
         if let Stream::Socket(stream) = self {
             let _ = stream.set_nodelay(true);
         }
     }
 
-    /// Reads bytes that have come. `WouldBlock` if none have, 0 once the peer has closed the connection.
+    /// Reads available bytes. Fails with `WouldBlock` if there are none, and returns 0 once the peer has closed the
+    /// connection.
     pub fn try_read(&self, buf: &mut [u8]) -> io::Result<usize> {
         match self {
             Stream::Socket(stream) => stream.try_read(buf),
@@ -258,7 +261,7 @@
         }
     }
 
-    /// Writes some of the bytes. `WouldBlock` if none can be written.
+    /// Writes some of the bytes. Fails with `WouldBlock` if none can be written.
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         match self {
             Stream::Socket(stream) => stream.try_write(bytes),
@@ -282,7 +285,7 @@
         }
     }
 
-    /// Ends once [`Stream::try_write`] would not block.
+    /// Completes once [`Stream::try_write`] would not block.
     pub async fn writable(&self) -> io::Result<()> {
         match self {
             Stream::Socket(stream) => stream.writable().await,
@@ -293,11 +296,11 @@
         }
     }
 
-    /// Reads into the spare capacity of `buf`. 0 once the peer has closed the connection.
+    /// Reads into the spare capacity of `buf`. Returns 0 once the peer has closed the connection.
     pub async fn read_buf(&mut self, buf: &mut Vec<u8>) -> io::Result<usize> {
         match self {
             Stream::Socket(stream) => tokio::io::AsyncReadExt::read_buf(stream, buf).await,
-            // Nothing is in the buffer across an await: the caller may give up there.
+            // `buf` must not be extended across an await point: the caller may drop the future there.
             Stream::Simulated(stream) => loop {
                 std::future::poll_fn(|cx| stream.poll_read_ready(cx)).await;
                 let start = buf.len();
@@ -327,7 +330,8 @@
         }
     }
 
-    /// Ends once the peer has closed or broken the connection. Nobody may read meanwhile.
+    /// Completes once the peer has closed the connection or the connection has broken. Nothing else may read from the
+    /// stream in the meantime.
     pub async fn closed_by_peer(&self) {
         match self {
             Stream::Socket(stream) => loop {
@@ -335,7 +339,7 @@
                     Ok(0) | Err(_) => return,
                     Ok(_) => {}
                 }
-                // Bytes are unread: whether an end lies behind them shows only in the state of the socket.
+                // While bytes are unread, only the socket's readiness shows whether the peer has closed its side.
                 match stream.ready(Interest::READABLE).await {
                     Ok(ready) if !ready.is_read_closed() => {
                         tokio::time::sleep(CLOSE_POLL_INTERVAL).await;
@@ -349,7 +353,7 @@
         }
     }
 
-    /// Nothing more will be written.
+    /// Closes the write direction.
     pub fn shutdown_write(&self) -> io::Result<()> {
         match self {
             Stream::Socket(stream) => {
@@ -362,7 +366,7 @@
     }
 }
 
-/// Writes some bytes once that does not block.
+/// Waits until the stream is writable, then writes some of the bytes.
 fn poll_write(
     stream: &Arc<dyn SimulatedStream>,
     cx: &mut Context<'_>,
--- a/crates/beechcroft-transport/src/server.rs
+++ b/crates/beechcroft-transport/src/server.rs
@@ -1,7 +1,7 @@
-//! A listener for the system's own calls: async-h1's decoder and encoder, with checks around them.
+//! The HTTP server for the API and for RPCs: async-h1's decoder and encoder, with additional checks.
 //!
-//! The checks catch what async-h1 lets pass: a body that is shorter than its head says, several lengths that differ, a
-//! body that is too large, a head that never ends.
+//! The checks reject what async-h1 accepts: a body shorter than its stated length, differing lengths, a body that is
+//! too large, and a head that never ends.
 
 use crate::rpc::CALL_ID_HEADER;
 use crate::{HttpStream, Runtime};
@@ -17,53 +17,53 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, Instant};
 
-/// The pause after a failure to accept a connection.
+/// The pause after accepting a connection has failed.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
-/// The largest body that memory is reserved for before it has come.
+/// The most memory reserved for a body before it has arrived, in bytes. A stated length alone must not cost more.
 const MAX_RESERVED_BYTES: u64 = 1 << 20;
 
-/// A call that was read completely.
+/// A completely read request.
 #[derive(Debug)]
 pub struct Request {
     /// The method.
     pub method: String,
     /// The path, without the query.
     pub path: String,
-    /// The query, without its question mark.
+    /// The query without the question mark.
     pub query: String,
     /// The body.
     pub body: Vec<u8>,
     /// The caller's address.
     pub peer: SocketAddr,
-    /// When it had been read completely.
+    /// When the request had been read completely.
     pub received_at: Instant,
-    /// Who waits for the response.
+    /// The connection of the caller, which waits for the response.
     pub caller: Caller,
 }
 
 impl Request {
-    /// The value of a parameter of the query.
+    /// The value of a query parameter.
     pub fn query_value(&self, name: &str) -> Option<&str> {
         let mut pairs = self
             .query
             .split('&')
             .filter_map(|pair| pair.split_once('='));
-        pairs.find(|(of, _)| *of == name).map(|(_, value)| value)
+        pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
     }
 }
 
-/// Who waits for the response to a call.
+/// The caller that waits for the response to a call.
 #[derive(Clone, Debug)]
 pub struct Caller(HttpStream);
 
 impl Caller {
-    /// Ends once the caller has closed its side: it no longer waits, and may have made the same call elsewhere by now.
-    /// Only to be awaited while the call is worked on.
+    /// Completes once the caller has closed its side of the connection: it no longer waits, and may already have made
+    /// the same call elsewhere. May be awaited only while the call is being handled.
     pub async fn disconnected(&self) {
         self.0.closed_by_peer().await
     }
 
-    /// Whether the caller has closed its side already.
+    /// Whether the caller has already closed its side of the connection.
     pub async fn is_disconnected(&self) -> bool {
         tokio::select! {
             biased;
@@ -73,21 +73,21 @@
     }
 }
 
-/// The response to a call.
+/// A response to a call.
 #[derive(Debug)]
 pub struct Response {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// Whether the body is JSON; otherwise it is plain bytes.
+    /// Whether the body is JSON; otherwise it is an octet stream.
     pub is_json: bool,
-    /// Where the caller is redirected to.
+    /// The value of `Location`, for a redirect.
     pub location: Option<String>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// 200 with a body of JSON.
+    /// A response with status 200 and a JSON body.
     pub fn json(body: impl Into<Vec<u8>>) -> Response {
         Response {
             status: 200,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// 200 with a body of plain bytes.
+    /// A response with status 200 and an octet stream as its body.
     pub fn bytes(body: impl Into<Vec<u8>>) -> Response {
         Response {
             status: 200,
@@ -130,13 +130,13 @@
 /// The limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Bytes of a body.
+    /// The largest body, in bytes.
     pub max_body_bytes: u64,
-    /// For a head to arrive, and for a connection to rest.
+    /// How long a head may take to arrive, and how long a connection may be idle.
     pub head_timeout: Duration,
-    /// For a body to arrive.
+    /// How long a body may take to arrive.
     pub body_timeout: Duration,
-    /// Connections at a time. Further ones are closed: their callers go to another node.
+    /// The most concurrent connections. Further ones are closed at once, so that their callers try another node.
     pub max_connections: usize,
 }
 
@@ -151,7 +151,11 @@
     }
 }
 
-/// Listens and handles calls until the listener fails.
+/// Listens on an address and passes each call to the handler. Returns only if the address cannot be bound.
+///
+/// # Errors
+///
+/// The address cannot be bound.
 pub async fn serve<H, F>(
     runtime: Runtime,
     address: SocketAddrV4,
@@ -168,12 +172,12 @@
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(e) => {
-                log::warn!("server: Accepting on {address} failed: {e}.");
+                log::warn!("server: Accepting a connection on {address} failed: {e}.");
                 tokio::time::sleep(ACCEPT_RETRY).await;
                 continue;
             }
         };
-        // Each connection holds a clone of the handler.
+        // Each open connection owns a clone of the handler, so the reference count gives the number of connections.
         if Rc::strong_count(&handler) > limits.max_connections {
             continue;
         }
@@ -185,7 +189,7 @@
     }
 }
 
-/// Handles one call. Whether another one may follow on the connection.
+/// Handles one call. Returns whether the connection may carry another one.
 async fn handle_call<H, F>(
     stream: &HttpStream,
     peer: SocketAddr,
@@ -218,7 +222,8 @@
     let body = timeout(limits.body_timeout, read_body(&mut request, limits)).await;
     let response = match body {
         Ok(Ok(body)) => {
-            // A next call that was read ahead is lost: its caller must not take a later response for its own.
+            // Bytes of a next call that async-h1 read ahead are lost. Closing the connection keeps the caller from
+            // taking the response to a later call for that of the lost one.
             let read_ahead = !stream.has_read_exactly(body.len());
             keep_alive &= !read_ahead || !Safeguard::ServerReadAhead.is_enabled();
             let url = request.url();
@@ -249,7 +254,7 @@
     Ok(keep_alive)
 }
 
-/// The length that a head states. Several must not differ.
+/// The value of `Content-Length`. If it is repeated, all values must be equal.
 fn content_length(request: &http_types::Request) -> Result<Option<u64>, Error> {
     let Some(values) = request.header("content-length") else {
         return Ok(None);
@@ -261,12 +266,14 @@
     let malformed = |detail: &str| Error::new(ErrorKind::Malformed, detail);
     let first = first.ok_or_else(|| malformed("Content-Length is not a number"))?;
     if lengths.any(|other| other != Ok(first)) {
-        return Err(malformed("several lengths that differ"));
+        return Err(malformed(
+            "Content-Length is repeated with different values",
+        ));
     }
     Ok(Some(first))
 }
 
-/// Reads a body and counts it against its head.
+/// Reads a body and checks it against the size limit and its stated length.
 async fn read_body(
     request: &mut http_types::Request,
     limits: ServerLimits,
