--- a/crates/beechcroft-storage/src/corruption.rs
+++ b/crates/beechcroft-storage/src/corruption.rs
@@ -1,39 +1,40 @@
-//! What of a data folder cannot be read although it had been synced.
+//! Corruption of a data folder: which synced data cannot be read, and which records it affects.
 
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// The corruption found in a data folder. Empty if there is none.
+/// The corruption found in a data folder. Empty if the folder is intact.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Corruption {
-    /// File, offset and entry of each fault.
+    /// One line per fault, with its file, offset and entry.
     locations: Vec<String>,
-    /// Records whose last value is lost.
+    /// Records whose latest value is lost.
     lost_records: BTreeSet<String>,
-    /// Whole entries are lost, and nobody knows which records they held: any record may be lost but those that were
-    /// written since.
+    /// Whether whole entries are lost. It is unknown which records they contained, so the latest value of any record
+    /// may be lost, except those written since.
     has_lost_entries: bool,
+    /// Records of which an intact value follows the last lost entry.
     written_since: BTreeSet<String>,
 }
 
 impl Corruption {
-    /// Whether everything could be read.
+    /// Whether no corruption was found.
     pub fn is_empty(&self) -> bool {
         self.locations.is_empty()
     }
 
-    /// Whether the last value of a record is lost, or may be.
+    /// Whether the latest value of a record is lost or may be lost.
     pub fn affects(&self, record: &str) -> bool {
         let may_be_lost = self.has_lost_entries && !self.written_since.contains(record);
         self.lost_records.contains(record) || may_be_lost
     }
 
-    /// Each fault, with its file, its offset and its entry.
+    /// One line per fault, with its file, offset and entry.
     pub fn locations(&self) -> &[String] {
         &self.locations
     }
 
-    /// Whole entries are lost. Nothing is known of what they held; what is written after them is intact.
+    /// Records that whole entries are lost. Their records are unknown; only values written later are safe.
     pub(crate) fn add_lost_entries(&mut self, location: String) {
         self.locations.push(location);
         self.lost_records.clear();
@@ -41,14 +42,14 @@
         self.has_lost_entries = true;
     }
 
-    /// The value of one record is lost.
+    /// Records that the value of one record is lost.
     pub(crate) fn add_lost_record(&mut self, location: String, record: &str) {
         self.locations.push(location);
         self.written_since.remove(record);
         self.lost_records.insert(record.to_owned());
     }
 
-    /// A later value of a record was read.
+    /// Records that a later, intact value of a record was read.
     pub(crate) fn record_written(&mut self, record: &str) {
         self.lost_records.remove(record);
         if self.has_lost_entries {
--- a/crates/beechcroft-storage/src/folder.rs
+++ b/crates/beechcroft-storage/src/folder.rs
@@ -1,4 +1,4 @@
-//! The files of a data folder, as they are read.
+//! Loading the files of a data folder.
 
 use crate::frame::checksum;
 use crate::replay::{snapshot_number, Replay};
@@ -11,21 +11,21 @@
 /// The bytes of a data folder's files.
 #[derive(Clone, Debug, Default)]
 pub struct FolderContents {
-    /// The snapshot.
+    /// The snapshot file; `None` if it is missing or unreadable.
     pub snapshot: Option<Vec<u8>>,
-    /// The log.
+    /// The log file; `None` if it is missing or unreadable.
     pub log: Option<Vec<u8>>,
-    /// The watermark.
+    /// The watermark file; `None` if it is missing or unreadable.
     pub watermark: Option<Vec<u8>>,
     /// The number of the snapshot that the log was created for; 0 without a log.
     pub log_number: u64,
-    /// Whether a log of the previous format is there.
+    /// Whether the folder contains a log of the previous format, 001.
     pub has_format_001_log: bool,
-    /// Files that are there and cannot be read at all, each with its error.
+    /// Files that exist but cannot be read, each with its error.
     pub unreadable: Vec<String>,
 }
 
-/// The logs of a folder with their numbers, the newest last.
+/// The log folders with their numbers, the newest last.
 pub(crate) fn log_folders(folder: &Path) -> io::Result<Vec<(u64, PathBuf)>> {
     let numbered = |path: PathBuf| {
         let name = path.file_name()?.to_str()?;
@@ -40,13 +40,13 @@
     Ok(folders)
 }
 
-/// Whether a file is a log of the previous format.
+/// Whether a file name is that of a log of the previous format, 001.
 pub(crate) fn is_format_001_log(name: &str) -> bool {
     name.starts_with("wal-")
 }
 
 impl FolderContents {
-    /// Reads a folder that may be written meanwhile.
+    /// Reads all files of a folder, which may be written to at the same time.
     pub fn load(folder: &Path) -> FolderContents {
         let entries = fs::read_dir(folder)
             .into_iter()
@@ -65,13 +65,13 @@
                 None
             }
         };
-        // In this order a folder that is written meanwhile is read consistently: a watermark never says more than a
-        // log that is read after it.
+        // The order makes the read consistent while the folder is written to: a watermark never exceeds the last entry
+        // of a log that is read after it.
         let watermark = read(folder.join(WATERMARK_FILE));
         let mut snapshot = read(folder.join(SNAPSHOT_FILE));
         loop {
             let number = snapshot.as_deref().and_then(snapshot_number);
-            // The snapshot's own log; without a readable snapshot, the newest log says what there was.
+            // The log that belongs to the snapshot. Without a readable snapshot, the newest log shows what existed.
             let mut folders = log_folders(folder).unwrap_or_default();
             let own = folders
                 .iter()
@@ -82,7 +82,7 @@
             let (log_number, log) = log.map_or((0, None), |(number, path)| {
                 (number, read(path.join(LOG_FILE)))
             });
-            // Another snapshot is there if the folder was compacted meanwhile.
+            // The snapshot has changed if the folder was compacted during the read: try again with the new one.
             let snapshot_now = read(folder.join(SNAPSHOT_FILE));
             if snapshot_now == snapshot {
                 return FolderContents {
@@ -98,17 +98,17 @@
         }
     }
 
-    /// The records, and what of them is lost.
+    /// Replays the files into the table of records, and reports what of it is lost.
     pub fn read(&self) -> (Table, Corruption) {
         let replay = self.replay();
         (replay.table, replay.corruption)
     }
 
     pub(crate) fn replay(&self) -> Replay {
-        Replay::of(self)
+        Replay::new(self)
     }
 
-    /// The number of the last entry known to be synced; 0 if the watermark does not say.
+    /// The number of the last entry known to be synced; 0 if the watermark is missing or corrupt.
     pub(crate) fn synced_number(&self) -> u64 {
         if !Safeguard::SyncedWatermark.is_enabled() {
             return 0;
--- a/crates/beechcroft-storage/src/frame.rs
+++ b/crates/beechcroft-storage/src/frame.rs
@@ -1,11 +1,12 @@
-//! The bytes of a log entry and of a snapshot: a head with its number, names, lengths and checksums, then the values.
+//! The encoding of log entries and snapshots: a head with the number and each record's name, length and checksum, then
+//! the values.
 //!
-//! The head has a checksum of its own, so that the name of a corrupt value is still known.
+//! The head has its own checksum, so that the name of a corrupt value is still known.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 1 | [`FORMAT`] |
-//! | 4 | length of the head in bytes, its checksum included |
+//! | 4 | length of the head in bytes, including its checksum |
 //! | 4 | length of all values in bytes |
 //! | 8 | number of the entry |
 //! | 2 | count of records |
@@ -17,20 +18,20 @@
 
 use std::ops::Range;
 
-/// The first byte of each frame; 0 is what has not been written yet.
+/// The first byte of each frame. It must not be 0, which is what preallocated space contains.
 pub(crate) const FORMAT: u8 = 2;
-/// Bytes of a head before its first record: format, two lengths, number, count.
+/// Length of the fixed part of a head in bytes: format, two lengths, number, count.
 const FIXED_HEAD_BYTES: usize = 1 + 4 + 4 + 8 + 2;
-/// Bytes of a checksum.
+/// Length of a checksum in bytes.
 const CHECKSUM_BYTES: usize = 4;
 
 /// A record of a frame.
 #[derive(Debug, PartialEq)]
 pub(crate) struct FramedRecord {
     pub(crate) name: String,
-    /// Where the value is, from the start of the frame.
+    /// The byte range of the value, relative to the start of the frame.
     pub(crate) range: Range<usize>,
-    /// Whether the value has its checksum.
+    /// Whether the value matches its checksum.
     pub(crate) is_intact: bool,
 }
 
@@ -39,11 +40,11 @@
 pub(crate) struct Frame {
     pub(crate) number: u64,
     pub(crate) records: Vec<FramedRecord>,
-    /// Bytes of head and values.
+    /// Length of head and values in bytes.
     pub(crate) length: usize,
 }
 
-/// Encodes a frame.
+/// Encodes a frame with this number and these records.
 pub(crate) fn encode<'a>(
     number: u64,
     records: impl ExactSizeIterator<Item = (&'a str, &'a [u8])> + Clone,
@@ -71,8 +72,7 @@
 }
 
 impl Frame {
-    /// Decodes the frame that begins with these bytes. `None` if its head is corrupt. A value that the bytes do not
-    /// contain to its end is not intact.
+    /// Decodes the frame at the start of `bytes`. `None` if its head is corrupt. A truncated value is not intact.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Frame> {
         let (&format, rest) = bytes.split_first()?;
         let (head_bytes, rest) = rest.split_first_chunk::<4>()?;
@@ -89,10 +89,10 @@
         }
         let (mut records, mut end) = (Vec::new(), head_bytes);
         for _ in 0..u16::from_le_bytes(*count) {
-            let (&name_length, after) = rest.split_first()?;
-            let (name, after) = after.split_at_checked(usize::from(name_length))?;
-            let (value_length, after) = after.split_first_chunk::<4>()?;
-            let (sum, after) = after.split_first_chunk::<CHECKSUM_BYTES>()?;
+            let (&name_length, tail) = rest.split_first()?;
+            let (name, tail) = tail.split_at_checked(usize::from(name_length))?;
+            let (value_length, tail) = tail.split_first_chunk::<4>()?;
+            let (sum, tail) = tail.split_first_chunk::<CHECKSUM_BYTES>()?;
             let range = end..end + u32::from_le_bytes(*value_length) as usize;
             let value = bytes.get(range.clone());
             records.push(FramedRecord {
@@ -101,7 +101,7 @@
                 is_intact: value.is_some_and(|v| checksum(v) == u32::from_le_bytes(*sum)),
             });
             end = range.end;
-            rest = after;
+            rest = tail;
         }
         Some(Frame {
             number: u64::from_le_bytes(*number),
@@ -110,7 +110,8 @@
         })
     }
 
-    /// The first frame at or after `from` that has an intact head and a number above `above`, with its offset.
+    /// Finds the first frame at or after offset `from` with an intact head and a number above `above`, and returns it
+    /// with its offset.
     pub(crate) fn find(bytes: &[u8], from: usize, above: u64) -> Option<(usize, Frame)> {
         let starts = (from..bytes.len()).filter(|&at| bytes[at] == FORMAT);
         let mut frames = starts.filter_map(|at| Some((at, Frame::decode(&bytes[at..])?)));
--- a/crates/beechcroft-storage/src/lib.rs
+++ b/crates/beechcroft-storage/src/lib.rs
@@ -1,11 +1,12 @@
-//! A small table of records on disk: a write-ahead log and a snapshot. The only package that writes disk.
+//! A small durable key-value table, kept as a snapshot and a write-ahead log. No other package of the control plane
+//! writes to disk.
 //!
 //! ```no_run
 //! use beechcroft_storage::RecordStore;
 //!
 //! # fn main() -> std::io::Result<()> {
 //! let mut store = RecordStore::open("/var/lib/beechcroft".as_ref())?;
-//! store.write(&[("identity".to_owned(), vec![1, 2, 3])])?; // synced once this returns
+//! store.write(&[("identity".to_owned(), vec![1, 2, 3])])?; // synced when this returns
 //! assert_eq!(store.table()["identity"], [1, 2, 3]);
 //! # Ok(())
 //! # }
@@ -13,31 +14,33 @@
 //!
 //! # Files
 //!
-//! `docs/operators/system.md` states every byte.
+//! `docs/operators/system.md` specifies the format of each file.
 //!
 //! - `state`: the snapshot.
-//! - `log-N/wal-1`: the log that okaywal writes, with the entries since the snapshot of number N.
-//! - `mark`: the watermark, which is the number of the last entry that was synced.
+//! - `log-N/wal-1`: the log, written by okaywal, with the entries since the snapshot with number N.
+//! - `mark`: the watermark, that is, the number of the last synced entry.
 //!
 //! # Torn writes and corruption
 //!
-//! Entries are numbered without gaps, and an entry is written only once the one before it is synced. So the two cases
-//! can be told apart: an unreadable end of the log beyond the watermark, with nothing readable behind it, was never
-//! acknowledged and is cut off (a torn write). Everything else had been acknowledged and is [`Corruption`].
+//! Entries are numbered without gaps, and an entry is written only after the one before it has been synced. This
+//! distinguishes two cases: an unreadable end of the log beyond the watermark, with nothing readable after it, was
+//! never acknowledged and is discarded (a torn write). Any other unreadable data was acknowledged and is
+//! [`Corruption`].
 //!
-//! okaywal writes, lays out and syncs the log. It is never asked to read one: its recovery ends at the first chunk
-//! that it cannot read and names no place. The bytes are read here instead, as entries have heads and checksums of
-//! their own.
+//! okaywal preallocates, writes and syncs the log, but never reads it: its recovery stops at the first chunk that it
+//! cannot read and does not report where. This package decodes the log itself, as entries have their own heads and
+//! checksums.
 //!
-//! The watermark itself is not synced: it survives the end of the process, and a loss of power half a minute later.
-//! One case is left: power is lost, and a byte of the very last entry is corrupted as well before the watermark has
-//! reached the disk. Nothing cheaper than a second sync for each entry distinguishes that from a torn write.
+//! The watermark itself is not synced. It survives the end of the process at once, and a loss of power after about half
+//! a minute. One case remains undetected: power is lost before the watermark has reached the disk, and a byte of the
+//! last entry is corrupted as well. Only a second sync for each entry could distinguish that from a torn write.
 //!
 //! # Compaction
 //!
-//! Opening and compacting do the same: an empty log for the next number, synced; the snapshot of that number beside
-//! the old one, synced, renamed, the folder synced; and only then is the old log removed. A snapshot therefore never
-//! exists without its log, and a crash between any two steps leaves one complete table.
+//! Opening a store compacts it. A compaction creates an empty log for the next number and syncs it; writes the snapshot
+//! with that number to a temporary file, syncs it, renames it over the old one and syncs the folder; and only then
+//! removes the old log. A snapshot therefore never exists without its log, and a crash between any two steps leaves one
+//! complete table.
 
 #![warn(missing_docs)]
 
@@ -60,19 +63,19 @@
 
 /// The first bytes of a snapshot.
 const SNAPSHOT_MAGIC: &[u8; 8] = b"BCHUT002";
-/// What snapshots of all formats begin with.
+/// The common prefix of the first bytes of snapshots of all formats.
 const SNAPSHOT_MAGIC_PREFIX: &[u8] = b"BCHUT";
 const SNAPSHOT_FILE: &str = "state";
 const WATERMARK_FILE: &str = "mark";
-/// The folder of a log is named so, followed by the number of its snapshot.
+/// The prefix of a log folder's name; the number of its snapshot follows.
 const LOG_FOLDER_PREFIX: &str = "log-";
-/// The log's file in that folder.
+/// The name of the log file in its folder.
 const LOG_FILE: &str = "wal-1";
-/// The copy that is kept of a corrupt snapshot.
+/// The name of the copy that is kept of a corrupt snapshot.
 const CORRUPT_SNAPSHOT_FILE: &str = "state.damaged";
-/// The copy that is kept of a corrupt log.
+/// The name of the copy that is kept of a corrupt log.
 const CORRUPT_LOG_FILE: &str = "log.damaged";
-/// Bytes of log after which it is compacted into the snapshot.
+/// Size of the log, in bytes, above which the next write compacts it first.
 const COMPACT_BYTES: u64 = 4 << 20;
 /// The number of the first entry.
 const FIRST_NUMBER: u64 = 1;
@@ -84,18 +87,19 @@
 pub struct RecordStore {
     folder: PathBuf,
     table: Table,
-    /// The number of the last entry.
+    /// The number of the last entry or snapshot.
     last_number: u64,
-    /// `None` after a write that failed, until the next write compacts.
+    /// `None` after a failed write, until the next write compacts the store.
     log: Option<LogFile>,
 }
 
 impl RecordStore {
-    /// Opens a folder. An empty one gives an empty table.
+    /// Opens a data folder and compacts it. An empty or missing folder gives an empty table.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::InvalidData`] names what is corrupt, and the folder is left as it is; other kinds are the disk's.
+    /// [`ErrorKind::InvalidData`] if the folder is corrupt: the error lists the faults, and the folder is unchanged.
+    /// Other kinds are I/O errors.
     pub fn open(folder: &Path) -> io::Result<RecordStore> {
         let replay = FolderContents::load(folder).replay();
         if !replay.corruption.is_empty() {
@@ -107,8 +111,13 @@
         RecordStore::begin(folder, replay)
     }
 
-    /// Opens a folder whatever is in it. `repair` is told what is corrupt and turns the table into one that is safe to
-    /// use; its result is on disk before this returns. Copies of the corrupt files are kept in the folder.
+    /// Opens a folder even if it is corrupt. `repair` is then called with the corruption and the remaining table, and
+    /// must make the table safe to use; the result is on disk before this returns. Copies of the corrupt files are kept
+    /// in the folder.
+    ///
+    /// # Errors
+    ///
+    /// I/O errors only.
     pub fn open_repaired(
         folder: &Path,
         repair: impl FnOnce(&Corruption, &mut Table),
@@ -141,24 +150,29 @@
         Ok(store)
     }
 
-    /// Reads a folder without changing it.
+    /// Reads a folder without changing it, and returns its table and its corruption.
     pub fn peek(folder: &Path) -> (Table, Corruption) {
         FolderContents::load(folder).read()
     }
 
-    /// The records.
+    /// The current records.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// Writes records with one sync for all of them. Once it returns, they survive a loss of power. After an error
+    /// Writes records as one log entry with one sync. Once this returns, they survive a loss of power. After an error,
     /// none of them is in the table, and either all or none are on disk.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::InvalidInput`] if there are more than 65535 records or a name is longer than 255 bytes; otherwise
+    /// an I/O error, after which the next write compacts the store first.
     pub fn write(&mut self, records: &[(String, Vec<u8>)]) -> io::Result<()> {
         let has_long_name = records
             .iter()
             .any(|(name, _)| name.len() > usize::from(u8::MAX));
         if records.len() > usize::from(u16::MAX) || has_long_name {
-            let error = "too many records, or too long a name";
+            let error = "more than 65535 records, or a record name longer than 255 bytes";
             return Err(io::Error::new(ErrorKind::InvalidInput, error));
         }
         if self
@@ -171,11 +185,12 @@
         let log = self
             .log
             .as_mut()
-            .ok_or_else(|| io::Error::other("the log is closed"))?;
+            .ok_or_else(|| io::Error::other("the log is not open"))?;
         self.last_number += 1;
         let framed = records.iter().map(|(name, value)| (&name[..], &value[..]));
         if let Err(e) = log.append(&frame::encode(self.last_number, framed)) {
-            // Nothing may be written behind what may be torn, and what a failed sync left is not to be trusted.
+            // Nothing may be written after an entry that may be torn, and the state of the file after a failed sync is
+            // unknown.
             self.log = None;
             return Err(e);
         }
@@ -186,28 +201,29 @@
         Ok(())
     }
 
-    /// Starts an empty log and writes the table as its snapshot.
+    /// Writes the table as a new snapshot with an empty log, and removes the old log.
     fn compact(&mut self) -> io::Result<()> {
         self.log = None;
-        // okaywal would create the folder anew where it is gone, perhaps with the disk that it was on.
+        // Fails if the folder is missing. okaywal would create it again, even if the disk that it was on has been
+        // unmounted.
         File::open(&self.folder)?;
-        // Above every number that the old log may hold.
+        // Above every number in the old log, including that of an entry whose write failed.
         self.last_number += 1;
         let log_folder = self
             .folder
             .join(format!("{LOG_FOLDER_PREFIX}{}", self.last_number));
         if log_folder.exists() {
-            fs::remove_dir_all(&log_folder)?; // of a compaction that did not complete
+            fs::remove_dir_all(&log_folder)?; // left by an incomplete compaction
         }
-        let begun = self.begin_log(&log_folder);
-        if begun.is_err() {
-            // A full disk is left as full as it was, unless the new snapshot is in place already.
+        let log = self.begin_log(&log_folder);
+        if log.is_err() {
+            // Free the space again, as the disk may be full, unless the new snapshot is already in place.
             let snapshot = fs::read(self.folder.join(SNAPSHOT_FILE)).unwrap_or_default();
             if snapshot_number(&snapshot) != Some(self.last_number) {
                 let _ = fs::remove_dir_all(&log_folder);
             }
         }
-        self.log = Some(begun?);
+        self.log = Some(log?);
         for (number, old) in log_folders(&self.folder)? {
             if number != self.last_number {
                 fs::remove_dir_all(old)?;
@@ -216,6 +232,7 @@
         Ok(())
     }
 
+    /// Creates a log for the next number, and replaces the snapshot by one of the table with that number.
     fn begin_log(&self, log_folder: &Path) -> io::Result<LogFile> {
         let watermark = self.folder.join(WATERMARK_FILE);
         let mut log = LogFile::create(log_folder, &watermark, self.last_number)?;
@@ -234,22 +251,22 @@
         Ok(log)
     }
 
-    /// Replaces a file atomically: it is complete or as it was before.
+    /// Replaces a file atomically and durably: after a crash it has either the old content or the new.
     fn replace_file(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let beside = self.folder.join(format!("{name}-new"));
-        let mut file = File::create(&beside)?;
+        let temporary = self.folder.join(format!("{name}-new"));
+        let mut file = File::create(&temporary)?;
         let written = file.write_all(bytes).and_then(|()| file.sync_all());
         if let Err(e) = written {
-            let _ = fs::remove_file(&beside); // a full disk is left as full as it was
+            let _ = fs::remove_file(&temporary); // frees the space again, as the disk may be full
             return Err(e);
         }
         drop(file);
-        fs::rename(&beside, self.folder.join(name))?;
+        fs::rename(&temporary, self.folder.join(name))?;
         File::open(&self.folder)?.sync_all()
     }
 }
 
-/// Copies what is corrupt, for a person to look at. A copy that fails is not needed.
+/// Copies the corrupt files for an operator to examine. Failures to copy are ignored.
 fn keep_corrupt_files(folder: &Path) -> io::Result<()> {
     let _ = fs::copy(
         folder.join(SNAPSHOT_FILE),
--- a/crates/beechcroft-storage/src/log_file.rs
+++ b/crates/beechcroft-storage/src/log_file.rs
@@ -1,4 +1,4 @@
-//! The log and its watermark, as they are written.
+//! Writing the log and its watermark.
 
 use crate::frame::{self, checksum};
 use okaywal::{Configuration, Entry, EntryId, LogManager, SegmentReader, WriteAheadLog};
@@ -8,12 +8,12 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::Path;
 
-/// The log is laid out in zeros so far ahead: a sync then has no file length to change.
+/// How far ahead the log is preallocated with zeros, in bytes, so that a sync need not update the file's length.
 const PREALLOCATE_BYTES: u32 = 128 << 10;
-/// okaywal's buffer.
+/// Size of okaywal's write buffer, in bytes.
 const BUFFER_BYTES: usize = 8 << 10;
 
-/// okaywal only opens logs that are new: it has nothing to recover, and compaction is the store's.
+/// okaywal opens only new logs, so it has nothing to recover; the store does its own compaction.
 #[derive(Debug)]
 struct NoRecovery;
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// An open log.
+/// An open log with its watermark file.
 pub(crate) struct LogFile {
     wal: WriteAheadLog,
     watermark: File,
@@ -40,7 +40,7 @@
 }
 
 impl LogFile {
-    /// Creates a log. Its first entry has the snapshot's number and no records.
+    /// Creates a log in a new folder and syncs it. Its first entry has the snapshot's number and no records.
     pub(crate) fn create(folder: &Path, watermark: &Path, number: u64) -> io::Result<LogFile> {
         let wal = Configuration::default_for(folder)
             .preallocate_bytes(PREALLOCATE_BYTES)
@@ -62,30 +62,31 @@
         Ok(log)
     }
 
-    /// Bytes of entries since the log was created.
+    /// Bytes of entries written since the log was created.
     pub(crate) fn written_bytes(&self) -> u64 {
         self.written_bytes
     }
 
     /// Appends an entry and syncs it.
     pub(crate) fn append(&mut self, entry: &[u8]) -> io::Result<()> {
-        // okaywal panics where a write below an entry fails; to its caller that is a disk that refuses.
+        // okaywal panics if a write fails inside an entry. The caller gets an I/O error instead.
         let appended = catch_unwind(AssertUnwindSafe(|| {
             let mut writer = self.wal.begin_entry()?;
             writer.write_chunk(entry)?;
             writer.commit().map(drop)
         }));
-        appended.unwrap_or_else(|_| Err(io::Error::other("the log could not take the entry")))?;
+        appended.unwrap_or_else(|_| Err(io::Error::other("writing the log entry failed")))?;
         self.written_bytes += entry.len() as u64;
         Ok(())
     }
 
-    /// Records that an entry is synced. A watermark that is lost or torn only says less.
+    /// Records that an entry is synced. Failures are only logged: a lost or torn watermark is safe, as it then covers
+    /// fewer entries.
     pub(crate) fn set_watermark(&mut self, number: u64) {
         let mut bytes = number.to_le_bytes().to_vec();
         bytes.extend(checksum(&bytes).to_le_bytes());
         if let Err(e) = self.watermark.write_all_at(&bytes, 0) {
-            log::info!("storage: The watermark was not written: {e}.");
+            log::info!("storage: Writing the watermark failed: {e}.");
         }
     }
 }
