--- a/crates/beechcroft-config/src/config.rs
+++ b/crates/beechcroft-config/src/config.rs
@@ -1,20 +1,20 @@
-//! A configuration, as the operator sends it, and the checks that it has to pass.
+//! The configuration as the operator sends it, and its validation.
 
 use beechcroft_error::{Error, ErrorKind};
 use garde::Validate;
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::HashSet;
 
-/// A whole configuration. Fields that are not known are skipped.
+/// A complete configuration. Unknown fields are ignored.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 #[garde(allow_unvalidated)]
 pub struct Config {
-    /// Its version: above that of the one that it builds on.
+    /// Its version, which must be above [`Config::base_version`].
     #[serde(deserialize_with = "hexadecimal")]
     #[garde(range(min = 1))]
     pub version: u32,
-    /// The version that it builds on; 0 for the first.
+    /// The version of the configuration that it replaces; 0 for the first.
     #[serde(deserialize_with = "hexadecimal", default)]
     pub base_version: u32,
     /// All services.
@@ -23,12 +23,12 @@
     /// Limits on what clients send.
     #[serde(default)]
     pub limits: Limits,
-    /// All hosts with their routes.
+    /// All virtual hosts with their routes.
     #[garde(dive)]
     pub virtual_hosts: Vec<VirtualHost>,
 }
 
-/// A number, or its eight hexadecimal digits.
+/// Deserializes a version from a number or a string of hexadecimal digits.
 fn hexadecimal<'de, D: Deserializer<'de>>(from: D) -> Result<u32, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
@@ -44,7 +44,7 @@
     }
 }
 
-/// A service: a set of units that answer the same requests.
+/// A service: a set of units that serve the same requests.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 #[garde(allow_unvalidated)]
@@ -52,51 +52,52 @@
     /// Its name.
     #[garde(length(min = 1))]
     pub name: String,
-    /// The path of its health checks.
+    /// The request path of its health checks.
     #[serde(default)]
     pub health_path: String,
-    /// Connections to each of its units at most.
+    /// The most connections to each of its units.
     #[serde(default = "default_max_conns")]
     pub max_conns: u32,
-    /// How long a unit is slow after its start, in seconds.
+    /// How long a unit warms up after its start (slow start), in seconds.
     #[serde(default)]
     pub warmup_s: f64,
-    /// Requests a second that a unit bears meanwhile.
+    /// Requests per second that a unit can serve while it warms up.
     #[serde(default)]
     pub warmup_rate_s: f64,
-    /// Endpoints that usually serve a key in each region. 0: keys are not looked at.
+    /// How many endpoints in each region usually serve a key. 0: keys are ignored.
     #[serde(default)]
     #[garde(range(max = 64))]
     pub usual_places: usize,
-    /// Within so long all units hold what one of them has acknowledged, in milliseconds.
+    /// How long a write that one unit has acknowledged takes at most to reach all units, in milliseconds.
     #[serde(default)]
     #[garde(range(max = 600_000))]
     pub fresh_ms: u64,
-    /// When its endpoints are ejected. `None`: each proxy decides by the failures that it sees itself.
+    /// When its endpoints are ejected as outliers. `None`: each proxy decides by the failures that it observes itself.
     #[garde(dive)]
     pub unfit: Option<OutlierRules>,
 }
 
-/// When endpoints of a service are ejected: a preset, or figures beside one.
+/// When endpoints of a service are ejected: the values of a preset, each of which may be overridden.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(from = "OutlierRulesFields")]
 #[garde(allow_unvalidated)]
 pub struct OutlierRules {
-    /// Responses later than so many times the route's latency target count as bad. 0: late ones do not.
+    /// Responses that take longer than this multiple of the route's latency target count as bad. 0: latency does not
+    /// count.
     #[garde(range(min = 0.0, max = 100.0))]
     pub late_times: f64,
-    /// The share of bad responses of an unhealthy endpoint.
+    /// The share of bad responses that is expected of an unhealthy endpoint.
     #[garde(range(min = 0.02, max = 0.9))]
     pub error_share: f64,
-    /// Regions that must see it, of those that see anything.
+    /// How many regions must find the endpoint unhealthy; all regions with observations, if there are fewer.
     #[garde(range(min = 1, max = 16))]
     pub regions: usize,
-    /// The share of the service's endpoints that is ejected at most.
+    /// The largest share of the service's endpoints that may be ejected at a time.
     #[garde(range(min = 0.0, max = 0.9))]
     pub most_aside: f64,
 }
 
-/// Outlier rules as a configuration states them.
+/// Outlier rules as they are written in a configuration.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct OutlierRulesFields {
@@ -108,16 +109,16 @@
     most_aside: Option<f64>,
 }
 
-/// The usual rules of a kind of service.
+/// Default outlier rules for a kind of service.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OutlierPreset {
-    /// A late response is a bad one.
+    /// Late responses count as bad.
     #[default]
     Lookup,
-    /// Only no response, or a wrong one, is bad. A slow unit gets fewer requests.
+    /// Only missing and wrong responses count as bad. A slow unit just gets fewer requests.
     Record,
-    /// As for records.
+    /// The same rules as [`OutlierPreset::Record`].
     Download,
 }
 
@@ -153,17 +154,17 @@
     64
 }
 
-/// Limits on what clients send, and how long they may take.
+/// Limits on the size of clients' requests and on how long clients may take.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// The largest head of a request, in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of a request's body.
+    /// The largest body of a request, in bytes.
     pub max_body_bytes: u64,
-    /// For a head to arrive, in milliseconds.
+    /// How long a head may take to arrive, in milliseconds.
     pub header_timeout_ms: u64,
-    /// For a connection to rest between two requests, in milliseconds.
+    /// How long a connection may be idle between two requests, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -178,20 +179,20 @@
     }
 }
 
-/// A host with its routes.
+/// A virtual host with its routes.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 #[garde(allow_unvalidated)]
 pub struct VirtualHost {
-    /// The name in requests, without a port.
+    /// The host name in requests, without a port.
     #[garde(length(min = 1))]
     pub hostname: String,
-    /// Its routes. The longest prefix that matches wins.
+    /// Its routes. The route with the longest matching prefix applies.
     #[garde(dive)]
     pub path_rules: Vec<Route>,
 }
 
-/// What the requests of a route do.
+/// Whether the requests of a route may be repeated.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteType {
@@ -203,44 +204,44 @@
     Download,
 }
 
-/// A route: which service requests below a path go to, and how.
+/// A route: the service for requests below a path, and how they are forwarded.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 #[garde(allow_unvalidated)]
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// What its paths begin with.
+    /// The prefix of its paths, which begins with a slash.
     #[garde(prefix("/"))]
     pub path_prefix: String,
-    /// What its requests do.
+    /// Whether its requests may be repeated.
     pub route_type: RouteType,
-    /// For a request to be answered, in milliseconds.
+    /// The deadline of a request, in milliseconds.
     #[garde(range(min = 1))]
     pub timeout_ms: u64,
-    /// The latency target, in milliseconds.
+    /// The latency target, in milliseconds; 0 for none.
     #[serde(default)]
     pub target_ms: u64,
     /// Its priority: 0 is the highest.
     #[serde(default)]
     pub priority: u8,
-    /// The service, if there is one alone.
+    /// The service, unless requests are split between several.
     pub service: Option<String>,
-    /// Several services, each with its share.
+    /// The services between which requests are split, each with its weight.
     #[serde(default)]
     pub split: Vec<SplitPart>,
-    /// Units that a request may be sent to at most.
+    /// The most units that a request may be sent to.
     #[serde(default = "default_retries")]
     pub retries: u32,
-    /// The regions that may serve it; empty for all.
+    /// The regions that may serve the route; empty for all.
     #[serde(default)]
     pub home_regions: Vec<String>,
-    /// Where a request's key is taken from. `None`: the path below the prefix.
+    /// The part of a request that is its key. `None`: the path below the prefix.
     #[garde(dive)]
     pub key: Option<KeySource>,
 }
 
-/// The part of a request that is its key: a segment or a header.
+/// The part of a request that is its key: either a path segment or a header.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 #[garde(allow_unvalidated)]
@@ -248,7 +249,7 @@
     /// A segment of the path below the prefix, counted from 1.
     #[garde(inner(range(min = 1, max = 32)))]
     pub segment: Option<usize>,
-    /// The header whose value it is.
+    /// The name of the header whose value is the key.
     #[garde(inner(length(min = 1)))]
     pub header: Option<String>,
 }
@@ -257,12 +258,12 @@
     1
 }
 
-/// A service's share of a route.
+/// A service's share of a route's requests.
 #[derive(Clone, Debug, Deserialize)]
 pub struct SplitPart {
     /// The service.
     pub service: String,
-    /// Its share: the weight over the sum of all weights.
+    /// Its weight. Its share is the weight divided by the sum of all weights.
     pub weight: u32,
 }
 
@@ -275,7 +276,7 @@
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Invalid`] names the route and what is wrong with it, or the JSON's place.
+    /// [`ErrorKind::Invalid`], which names the invalid route or field, or the position in the JSON.
     pub fn read(body: &[u8]) -> Result<Config, Error> {
         let config: Config = serde_json::from_slice(body).map_err(|e| invalid(e.to_string()))?;
         let services: HashSet<&str> = config
@@ -289,7 +290,7 @@
             .flat_map(|host| &host.path_rules)
         {
             let checked = route.check(&services);
-            checked.map_err(|fault| invalid(format!("route `{}`: {fault}", route.name)))?;
+            checked.map_err(|error| invalid(format!("route `{}`: {error}", route.name)))?;
         }
         config
             .validate()
@@ -305,7 +306,7 @@
 }
 
 impl Route {
-    /// Checks that the route can work with these services; else what is wrong.
+    /// Validates the route against the names of all services. The error says what is wrong.
     fn check(&self, services: &HashSet<&str>) -> Result<(), String> {
         if self.timeout_ms == 0 {
             return Err("timeoutMs is 0".into());
--- a/crates/beechcroft-config/src/defaults.rs
+++ b/crates/beechcroft-config/src/defaults.rs
@@ -1,19 +1,19 @@
-//! What a service gets where its configuration does not say: by flags of the programs and by the types of its routes.
+//! Defaults for what a service's configuration leaves out, by the programs' flags and the types of its routes.
 
 use crate::config::{Config, OutlierPreset, OutlierRules, Route, RouteType, Service};
 
-/// The defaults that flags of the programs set. They must be the same for every node.
+/// Defaults set by flags of the programs. All nodes must use the same flags.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceDefaults {
-    /// `usualPlaces` of services that no non-idempotent route names: the one endpoint of a key's writes may be in
-    /// another region. 0 turns it off.
+    /// The default of `usualPlaces`, for services that no non-idempotent route names. Others keep 0, as the one
+    /// endpoint that takes a key's writes may be in another region. 0 disables the default.
     pub usual_places: usize,
-    /// Whether services get outlier rules, by the preset that fits the types of their routes.
+    /// Whether services without outlier rules get those of the preset that matches the types of their routes.
     pub outlier_detection: bool,
 }
 
 impl ServiceDefaults {
-    /// Completes a configuration. What it says itself stays.
+    /// Fills in the defaults. Values that the configuration sets are kept.
     pub fn apply(&self, config: &mut Config) {
         let routes: Vec<Route> = config
             .virtual_hosts
@@ -34,7 +34,7 @@
     }
 }
 
-/// The preset that fits the routes which send most of their requests to a service.
+/// The preset for a service, by the types of the routes that send it the largest share of their requests.
 fn preset_of(service: &Service, routes: &[Route]) -> OutlierPreset {
     let is_used_by = |route_type: RouteType| {
         let mut main_routes = routes
@@ -52,12 +52,13 @@
 }
 
 impl Route {
+    /// Whether the route sends requests to a service, alone or in a split.
     fn names(&self, service: &str) -> bool {
         let in_split = self.split.iter().any(|part| part.service == service);
         self.service.as_deref() == Some(service) || in_split
     }
 
-    /// The service that most of its requests go to.
+    /// The service that gets the largest share of the route's requests.
     fn main_service(&self) -> Option<&str> {
         let heaviest = self.split.iter().max_by_key(|part| part.weight);
         self.service
--- a/crates/beechcroft-config/src/lib.rs
+++ b/crates/beechcroft-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings of a process and configurations of the system: their types and their checks.
+//! Types and validation of the settings of a process and of the configuration of the whole system.
 //!
-//! [`Settings`] are read once from the file of a machine. A [`Config`] comes from the operator, is agreed on by the
-//! control nodes and is in force everywhere; [`ServiceDefaults`] completes it by flags of the programs. The names of
-//! fields are the keys of files and calls.
+//! Each process reads its [`Settings`] from a file when it starts. The operator sends a [`Config`]; the control nodes
+//! agree on it, and every node applies it. [`ServiceDefaults`], set by flags of the programs, fills in what it leaves
+//! out. The names of the fields are the keys in files and API calls.
 
 #![warn(missing_docs)]
 
--- a/crates/beechcroft-config/src/settings.rs
+++ b/crates/beechcroft-config/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process. Times are in the unit that a key's name ends with.
+//! The settings file of a process. The suffix of a key's name is its unit: `_ms` for milliseconds, `_s` for seconds.
 
 use garde::Validate;
 use serde::Deserialize;
@@ -6,10 +6,10 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
 
-/// The environment variable that names the file.
+/// The environment variable with the path of the settings file.
 pub const PATH_VARIABLE: &str = "BEECHCROFT_SETTINGS";
 
-/// The settings of a process. Fields that are not known are skipped.
+/// The settings of a process. Unknown fields are ignored.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 #[garde(allow_unvalidated)]
@@ -17,7 +17,7 @@
     /// The machine's name.
     #[garde(length(min = 1))]
     pub node_name: String,
-    /// Who may call the process from outside.
+    /// Which kinds of external callers the process serves.
     #[serde(default)]
     pub serves: Vec<String>,
     /// The machine's address.
@@ -28,21 +28,21 @@
     /// The machine's region.
     #[garde(length(min = 1))]
     pub region: String,
-    /// The first and the last port that nodes may use among themselves.
+    /// The first and last port of the range for traffic between nodes.
     #[garde(custom(check_ports))]
     pub internal_ports: [u16; 2],
-    /// Control addresses of a few control nodes.
+    /// The control addresses of some control nodes, through which the process joins.
     #[serde(default)]
     pub seed_nodes: Vec<SocketAddrV4>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole system is started for the first time.
     #[serde(default)]
     pub bootstrap: bool,
     /// Whether the machine may hold a replica.
     #[serde(default)]
     pub quorum_member: bool,
-    /// The folder for data; needed by control nodes.
+    /// The folder for data. Required if `quorum_member` is set.
     pub data_dir: Option<PathBuf>,
-    /// Between two heartbeats of a unit.
+    /// The interval between two heartbeats of a unit.
     #[serde(default = "default_heartbeat_ms")]
     #[garde(range(min = 1))]
     pub heartbeat_ms: u64,
@@ -52,13 +52,13 @@
     /// Where the process listens.
     #[garde(dive)]
     pub listen: Listen,
-    /// What the machine has.
+    /// The resources of the machine.
     #[serde(default)]
     pub limits: Limits,
-    /// What may be lost at the same time.
+    /// The concurrent failures that the system must tolerate.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
-    /// Figures of the rules.
+    /// Time limits and other bounds that the system keeps to.
     #[serde(default)]
     #[garde(dive)]
     pub bounds: Bounds,
@@ -77,37 +77,37 @@
     Ok(())
 }
 
-/// Where a process listens, for each of what it serves.
+/// The listen addresses of a process. One that is not set is not served.
 #[derive(Clone, Debug, Default, Deserialize, Validate)]
 #[garde(allow_unvalidated)]
 pub struct Listen {
-    /// For requests of clients.
+    /// For requests of clients, which are forwarded.
     pub ingress: Option<SocketAddrV4>,
-    /// For readiness checks.
+    /// For readiness probes.
     pub readiness: Option<SocketAddrV4>,
-    /// For units and the operator.
+    /// For calls of units and the operator.
     pub control: Option<SocketAddrV4>,
-    /// For clients that ask where to go.
+    /// For clients that resolve the proxies to use.
     pub directory: Option<SocketAddrV4>,
 }
 
-/// What a machine has.
+/// The resources of a machine.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Limits {
-    /// Memory.
+    /// Memory, in megabytes.
     pub memory_mb: u64,
     /// File descriptors.
     pub max_fds: u64,
-    /// The rate of the machine's own link; 0 where it is not stated.
+    /// The bandwidth of the machine's network link, in Mbit/s; 0 if it is not stated.
     pub link_mbps: f64,
 }
 
-/// What may be lost at the same time with all rules kept.
+/// The concurrent failures under which the system still keeps all its guarantees.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct FaultTolerance {
-    /// Machines that may hold a replica (f).
+    /// The number of lost machines among those that may hold a replica (f).
     pub node_losses: usize,
 }
 
@@ -117,43 +117,43 @@
     }
 }
 
-/// Figures of the rules. Where the file lacks one, its default holds.
+/// Time limits and other bounds that the system keeps to. Each has a default.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase", default)]
 #[garde(allow_unvalidated)]
 pub struct Bounds {
-    /// For an operation to be acknowledged.
+    /// The time limit for acknowledging an operation.
     pub ack_ms: u64,
-    /// A machine counts as lost for so long after it is back, and its successor after its start.
+    /// How long a machine still counts as lost after it is back, and its successor after its start.
     #[garde(range(min = 0.0))]
     pub sync_s: f64,
-    /// For which a unit serves on after its drain was acknowledged.
+    /// How long a unit continues to serve after its drain was acknowledged.
     pub drain_ms: u64,
-    /// Between SIGTERM and the end of the process.
+    /// The grace period from SIGTERM to the end of the process.
     pub grace_s: f64,
-    /// For a configuration to be in force everywhere.
+    /// The time limit for applying a configuration on all nodes.
     pub apply_ms: u64,
-    /// Retries for each request, over all proxies.
+    /// The retry budget: retries per request, over all proxies.
     #[garde(range(min = 0.0))]
     pub retry_budget: f64,
-    /// The window of that budget.
+    /// The time window of the retry budget.
     pub retry_window_s: f64,
-    /// Retries beyond that budget in a window.
+    /// Retries allowed in each window in addition to the budget.
     pub retry_extra: f64,
-    /// The share of requests that a version on trial may get.
+    /// The largest share of requests that a canary version may get.
     #[garde(range(min = 0.0, max = 1.0))]
     pub canary_share: f64,
-    /// Requests beyond that share.
+    /// Requests that a canary version may get in addition to that share.
     pub canary_margin: f64,
-    /// For a bad version to be rolled back.
+    /// The time limit for rolling back a bad version.
     pub rollback_ms: u64,
-    /// How far the rate at a unit that is warming up may exceed what it bears.
+    /// The largest ratio of a warming-up unit's request rate to the rate that it can serve.
     pub warmup_excess: f64,
-    /// Requests beyond that.
+    /// Requests that a warming-up unit may get in addition to that rate.
     pub warmup_margin: f64,
-    /// For a zone to be evacuated.
+    /// The time limit for evacuating a zone.
     pub evacuate_ms: u64,
-    /// How long an answer of the directory may hold.
+    /// The longest time to live of a response of the directory.
     #[serde(rename = "ttl_max_s")]
     pub ttl_max_s: f64,
 }
@@ -181,7 +181,11 @@
 }
 
 impl Settings {
-    /// Parses and checks the text of a settings file. A fault is named by its key.
+    /// Parses and validates the text of a settings file.
+    ///
+    /// # Errors
+    ///
+    /// What is wrong, with the key where it is known.
     pub fn read(text: &str) -> Result<Settings, String> {
         let settings: Settings = toml::from_str(text).map_err(|e| e.to_string())?;
         settings.validate().map_err(|report| report.to_string())?;
@@ -191,7 +195,11 @@
         Ok(settings)
     }
 
-    /// Reads the file that [`PATH_VARIABLE`] names.
+    /// Reads the settings file whose path is in the environment variable [`PATH_VARIABLE`].
+    ///
+    /// # Errors
+    ///
+    /// The variable is not set, or the file cannot be read or is invalid.
     pub fn load() -> Result<Settings, String> {
         let path =
             std::env::var(PATH_VARIABLE).map_err(|_| format!("{PATH_VARIABLE} is not set"))?;
@@ -199,7 +207,7 @@
         Self::read(&text)
     }
 
-    /// The region of a zone; empty for a zone that is not known.
+    /// The region of a zone; empty for an unknown zone.
     pub fn region_of<'a>(&'a self, zone: &'a str) -> &'a str {
         self.zones.get(zone).map_or("", String::as_str)
     }
