--- a/crates/beechcroft-error/src/lib.rs
+++ b/crates/beechcroft-error/src/lib.rs
@@ -1,6 +1,6 @@
-//! The closed list of errors that the system answers with, and the one table from kind to HTTP status.
+//! The complete list of errors that the system returns, and the table that maps each kind to its HTTP status.
 //!
-//! Every response that the system itself makes, to a client, a unit, an operator or another node, names one
+//! Every error response that the system itself generates, for a client, a unit, an operator or another node, has one
 //! [`ErrorKind`]:
 //!
 //! ```
@@ -12,15 +12,16 @@
 //! assert!(!error.kind.promises_not_executed());
 //! ```
 //!
-//! The statuses 408, 421, 429 and 503 promise that a request was not executed and never will be, so a caller may
-//! retry it whatever it does. [`ErrorKind::promises_not_executed`] says which kinds make that promise, and
-//! `beechcroft-retry` is held to it.
+//! The statuses 408, 421, 429 and 503 guarantee that a request was not executed and never will be, so a caller may
+//! retry it even if it is not idempotent. [`ErrorKind::promises_not_executed`] tells which kinds give that guarantee;
+//! `beechcroft-retry` must respect it.
 
 #![warn(missing_docs)]
 
 use displaydoc::Display;
 
-/// Why the system gives a response of its own. The documentation of a variant is the text that callers get.
+/// Why the system itself generated a response. The doc comment of each variant is the text that callers get, through
+/// `displaydoc`.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum ErrorKind {
     /// the bytes are not a request in the protocol
@@ -96,7 +97,8 @@
         }
     }
 
-    /// Whether the response promises that the request was not executed and never will be: any caller may retry.
+    /// Whether the response guarantees that the request was not executed and never will be, so that any caller may
+    /// retry.
     pub const fn promises_not_executed(self) -> bool {
         matches!(self.status(), 408 | 421 | 429 | 503)
     }
@@ -104,17 +106,17 @@
 
 impl std::error::Error for ErrorKind {}
 
-/// An error with what in particular was wrong.
+/// An error kind with details of the particular case.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
-    /// The kind, which decides the status.
+    /// The kind, which determines the status.
     pub kind: ErrorKind,
-    /// What in particular was wrong: a version, a route, an address.
+    /// Details of the particular case, such as a version, a route or an address.
     pub detail: String,
 }
 
 impl Error {
-    /// An error of this kind.
+    /// An error of this kind with these details.
     pub fn new(kind: ErrorKind, detail: impl Into<String>) -> Error {
         Error {
             kind,
--- a/crates/beechcroft-safeguards/src/lib.rs
+++ b/crates/beechcroft-safeguards/src/lib.rs
@@ -1,6 +1,6 @@
-//! Safeguards of the control plane, each with a name.
+//! Named safeguards of the control plane, which tests can disable one at a time.
 //!
-//! The line of code that keeps a promise asks whether its safeguard is enabled:
+//! The code that upholds a guarantee checks whether its safeguard is enabled:
 //!
 //! ```
 //! use beechcroft_safeguards::Safeguard;
@@ -10,16 +10,16 @@
 //! assert!(is_stale);
 //! ```
 //!
-//! In a program every safeguard is always enabled and the question is a constant. Tests and the simulator are
-//! built with the feature `removable`: they disable one safeguard on their own thread and must then observe the
-//! broken promise. `docs/design/control.md` lists the promise and the test of each.
+//! In release programs every safeguard is always enabled, and the check is a constant. Tests and the simulator are
+//! built with the feature `removable`: they disable one safeguard on their own thread and must then observe that the
+//! guarantee is broken. `docs/design/control.md` lists the guarantee and the test of each safeguard.
 
 #![warn(missing_docs)]
 
 /// A safeguard of the control plane.
 ///
-/// With the feature `removable` it is read and printed in snake case. Names of earlier releases are still read,
-/// because days of the simulator that were kept in TOML use them.
+/// With the feature `removable`, variants are serialized and printed in snake case. The names of earlier releases are
+/// still accepted, because simulator scenarios saved as TOML use them.
 #[cfg_attr(
     feature = "removable",
     derive(serde::Deserialize, serde::Serialize, strum::EnumIter, strum::Display)
@@ -31,7 +31,7 @@
 )]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Safeguard {
-    // Contact with a quorum.
+    // Quorum contact.
     /// Every placement that may still be in force elsewhere counts when a key's owner is compared,
     /// not the latest one alone.
     #[cfg_attr(feature = "removable", serde(alias = "earlier_moves"))]
@@ -52,20 +52,20 @@
     /// A drain or deregistration is acknowledged once a majority of the control nodes stores it.
     #[cfg_attr(feature = "removable", serde(alias = "drain_held_by_majority"))]
     DrainOnMajority,
-    /// The same applies when the drain is not new to the control node that receives it.
+    /// As [`Safeguard::DrainOnMajority`], for a drain that the receiving control node already knows.
     #[cfg_attr(feature = "removable", serde(alias = "repeated_drain_held"))]
     RepeatedDrainOnMajority,
-    /// A starting proxy becomes ready once it holds the revisions that a majority confirms.
+    /// A starting proxy becomes ready only once it has the revisions that a majority confirms.
     ConfirmedStart,
-    /// A control node that hears no peer names no proxy to clients.
+    /// A control node that hears from no peer names no proxy to clients.
     #[cfg_attr(feature = "removable", serde(alias = "heard_before_resolve"))]
     PeersHeardBeforeResolve,
 
-    // Operations and their repeats.
+    // Operations and their retries.
     /// An operation whose caller has closed its connection is not started.
     #[cfg_attr(feature = "removable", serde(alias = "gone_callers"))]
     CallerPresence,
-    /// An unconditional operation enters no round once its caller may have gone to another node.
+    /// An unconditional operation starts no consensus round once its caller may have turned to another node.
     #[cfg_attr(feature = "removable", serde(alias = "order_limit"))]
     UnconditionalDeadline,
     /// Operations that waited while the process was stalled are rejected.
@@ -149,7 +149,7 @@
     #[cfg_attr(feature = "removable", serde(alias = "identity_before_answers"))]
     IdentityBeforeResponse,
 
-    // Responses and their owners.
+    // Matching of responses to requests.
     /// An RPC accepts only the response that carries its id.
     #[cfg_attr(feature = "removable", serde(alias = "call_ids"))]
     RpcIds,
@@ -186,10 +186,10 @@
     /// A response that carries two different attempt ids is rejected.
     #[cfg_attr(feature = "removable", serde(alias = "two_owners"))]
     ConflictingAttemptIds,
-    /// A response that breaks off on its way to a client does not look complete.
+    /// A response that is cut off on its way to a client does not look complete.
     #[cfg_attr(feature = "removable", serde(alias = "broken_off"))]
     TruncatedResponse,
-    /// A client connection whose request body was not read carries no further request.
+    /// A client connection on which a request body was not read to its end carries no further request.
     #[cfg_attr(feature = "removable", serde(alias = "unread_body"))]
     UnreadRequestBody,
 
@@ -216,7 +216,7 @@
     /// What a few endpoints contribute beyond the median one does not block a version.
     #[cfg_attr(feature = "removable", serde(alias = "ill_units_are_no_version"))]
     UnhealthyEndpointsExcused,
-    /// A rollout that is still in doubt when its time is over is reverted.
+    /// A rollout without a clear result at the end of its time is reverted.
     #[cfg_attr(feature = "removable", serde(alias = "doubt_at_the_end"))]
     RevertWhenInDoubt,
     /// A proxy that knows too little of the baseline uses the slowness threshold of the whole
@@ -227,7 +227,7 @@
 
 #[cfg(not(feature = "removable"))]
 impl Safeguard {
-    /// Whether the safeguard is enabled: always, in a program.
+    /// Whether the safeguard is enabled. Always true without the feature `removable`.
     #[inline(always)]
     pub const fn is_enabled(self) -> bool {
         true
@@ -253,22 +253,22 @@
         }
     }
 
-    /// Keeps a safeguard disabled on this thread; dropping it restores what held before.
+    /// A guard that keeps a safeguard disabled on this thread. Dropping it restores the previous state.
     #[must_use]
     pub struct Disabled {
-        before: Option<Safeguard>,
+        previous: Option<Safeguard>,
     }
 
-    /// Disables one safeguard on this thread; `None` enables all of them.
+    /// Disables one safeguard on this thread, in place of any other; `None` enables all of them.
     pub fn disable(safeguard: Option<Safeguard>) -> Disabled {
         Disabled {
-            before: DISABLED.replace(safeguard),
+            previous: DISABLED.replace(safeguard),
         }
     }
 
     impl Drop for Disabled {
         fn drop(&mut self) {
-            DISABLED.set(self.before);
+            DISABLED.set(self.previous);
         }
     }
 }
