--- a/crates/beechcroft-proxy/src/attempt.rs
+++ b/crates/beechcroft-proxy/src/attempt.rs
@@ -68,7 +68,7 @@
         let is_closing = response.closes
             || response.framing == Some(Framing::UntilClose)
             || forbids_reuse(request);
-        let is_clean = connection.is_clean() || !Safeguard::CleanConnections.is_enabled();
+        let is_clean = connection.is_reusable() || !Safeguard::CleanConnections.is_enabled();
         if !is_closing && is_clean {
             self.is_pooled = true;
             let now = self.shared.now();
--- a/crates/beechcroft-proxy/src/pool.rs
+++ b/crates/beechcroft-proxy/src/pool.rs
@@ -46,7 +46,8 @@
             } = idle;
             let limit_ms = if is_exclusive { reuse_ms / 2 } else { reuse_ms };
             let is_recent = now.saturating_sub(idle_since) < limit_ms;
-            if is_recent && (connection.is_clean() || !Safeguard::CleanConnections.is_enabled()) {
+            if is_recent && (connection.is_reusable() || !Safeguard::CleanConnections.is_enabled())
+            {
                 return Some(connection);
             }
             connections.open -= 1;
