--- a/crates/beechcroft-safeguards/src/lib.rs
+++ b/crates/beechcroft-safeguards/src/lib.rs
@@ -174,7 +174,7 @@
     /// A request that was sent in part may have been executed.
     #[cfg_attr(feature = "removable", serde(alias = "partly_sent"))]
     PartialSend,
-    /// A connection is reused only after a complete response with nothing behind it.
+    /// A connection is reused only after a complete response with nothing after it.
     CleanConnections,
     /// A non-idempotent request that may have been executed is not retried.
     #[cfg_attr(feature = "removable", serde(alias = "maybe_run"))]
--- a/crates/beechcroft-storage/src/corruption.rs
+++ b/crates/beechcroft-storage/src/corruption.rs
@@ -34,7 +34,7 @@
         &self.locations
     }
 
-    /// Records that whole entries are lost. Their records are unknown; only values written later are safe.
+    /// Notes that whole entries are lost. Their records are unknown; only values written later are safe.
     pub(crate) fn add_lost_entries(&mut self, location: String) {
         self.locations.push(location);
         self.lost_records.clear();
@@ -42,14 +42,14 @@
         self.has_lost_entries = true;
     }
 
-    /// Records that the value of one record is lost.
+    /// Notes that the value of one record is lost.
     pub(crate) fn add_lost_record(&mut self, location: String, record: &str) {
         self.locations.push(location);
         self.written_since.remove(record);
         self.lost_records.insert(record.to_owned());
     }
 
-    /// Records that a later, intact value of a record was read.
+    /// Notes that a later, intact value of a record was read.
     pub(crate) fn record_written(&mut self, record: &str) {
         self.lost_records.remove(record);
         if self.has_lost_entries {
