--- a/crates/beechcroft-lab/src/comparisons.rs
+++ b/crates/beechcroft-lab/src/comparisons.rs
@@ -2,7 +2,7 @@
 //! kept of a run: tables and charts.
 
 use crate::cluster::{head, line, timed};
-use beechcroft_simulator::cluster::{play, Report, Scenario};
+use beechcroft_simulator::cluster::{simulate, Report, Scenario};
 use clap::Args;
 use rand::{RngExt, SeedableRng};
 use rayon::prelude::*;
@@ -66,7 +66,7 @@
             let days: Result<Vec<Scenario>, String> = (1..=self.seeds)
                 .map(|seed| with(&self.file, &sets, Some(seed)))
                 .collect();
-            let reports: Vec<Report> = days?.par_iter().map(play).collect();
+            let reports: Vec<Report> = days?.par_iter().map(simulate).collect();
             let rules: usize = reports
                 .iter()
                 .map(|report| report.verdict.violations.len())
@@ -145,7 +145,7 @@
             let days: Result<Vec<Scenario>, String> = (1..=self.seeds)
                 .map(|seed| with(&self.file, sets, Some(seed)))
                 .collect();
-            played.push(days?.par_iter().map(play).collect());
+            played.push(days?.par_iter().map(simulate).collect());
         }
         println!(
             "{} paired seeds; the first side less the other, with a 95% interval",
@@ -215,7 +215,7 @@
             text += &format!(
                 "| {} | {} | {} | {:.2}% | {} | {} | {} |\n",
                 scenario.name,
-                scenario.about,
+                scenario.description,
                 verdict.requests,
                 served(&report),
                 verdict.p50_ms,
@@ -230,7 +230,7 @@
             let mut seconds: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
             for asked in report
                 .history
-                .asked
+                .attempts
                 .values()
                 .filter(|asked| asked.route != "probe")
             {
--- a/crates/beechcroft-lab/src/plan.rs
+++ b/crates/beechcroft-lab/src/plan.rs
@@ -1,9 +1,9 @@
 //! `plan`: from a scenario's services, traffic and losses, how full units are, what more is needed, which loss breaks
 //! it first. `--check`: its answer against what the world plays over drawn sites.
 
-use beechcroft_simulator::cluster::scenario::{Event, What};
+use beechcroft_simulator::cluster::scenario::{Event, EventKind};
 use beechcroft_simulator::cluster::services::SERVICES;
-use beechcroft_simulator::cluster::{play, Scenario};
+use beechcroft_simulator::cluster::{simulate, Scenario};
 use clap::Args;
 use rand::{RngExt, SeedableRng};
 use rayon::prelude::*;
@@ -133,18 +133,18 @@
             let service = "boards".to_owned();
             scenario.event = vec![Event {
                 at: 3.0,
-                what: What::Crash {
+                kind: EventKind::CrashUnits {
                     service,
                     count: lost,
                     reuse: false,
                 },
             }];
             let after = busy(&scenario, "boards", scenario.units - lost);
-            let report = play(&scenario);
+            let report = simulate(&scenario);
             let from = 8000 + 3000 + 3000;
             let tries = report
                 .history
-                .asked
+                .attempts
                 .values()
                 .filter(|a| a.route == "read" && a.at >= from);
             let (mut all, mut fine) = (0.0, 0.0);
--- a/crates/beechcroft-simulator/src/cluster/disk.rs
+++ b/crates/beechcroft-simulator/src/cluster/disk.rs
@@ -130,7 +130,7 @@
         let disk = self.clone();
         Box::pin(async move {
             let number = {
-                let mut inner = disk.network.with();
+                let mut inner = disk.network.state();
                 inner.counts.syncs += 1;
                 inner.counts.syncs
             };
--- a/crates/beechcroft-simulator/src/cluster/history.rs
+++ b/crates/beechcroft-simulator/src/cluster/history.rs
@@ -10,7 +10,7 @@
     /// The client's request that it is a try of, and which try.
     pub request: u64,
     /// Which attempt of the request, from 0.
-    pub try_: u32,
+    pub attempt_number: u32,
     /// The name of its route.
     pub route: String,
     /// The method.
@@ -20,7 +20,7 @@
     /// The body.
     pub body: Vec<u8>,
     /// Whether it may be executed more than once.
-    pub repeatable: bool,
+    pub is_idempotent: bool,
     /// The edge machine that it went to, and where the client is.
     pub edge: String,
     /// The region.
@@ -47,9 +47,9 @@
     /// `Retry-After`, in seconds.
     pub retry_after: Option<f64>,
     /// The whole request had been read off the connection, as far as the client can tell: it was written whole.
-    pub written: bool,
+    pub request_sent: bool,
     /// The client's own deadline ended it.
-    pub gave_up: bool,
+    pub timed_out: bool,
 }
 
 /// What came to a unit.
@@ -70,15 +70,15 @@
     /// The body.
     pub body: Vec<u8>,
     /// Whether the unit began to work on it; one that is turned away is not run.
-    pub ran: bool,
+    pub was_executed: bool,
     /// It was meant for another unit, and turned away as such.
-    pub elsewhere: bool,
+    pub was_misdirected: bool,
     /// What the unit answered, if it did.
     pub status: Option<u16>,
     /// It was cold at that moment.
-    pub cold: bool,
+    pub is_cold: bool,
     /// It broke off, or said something else than an answer.
-    pub broke: bool,
+    pub response_failed: bool,
 }
 
 /// A unit's life.
@@ -97,14 +97,14 @@
     /// When it ended, in milliseconds.
     pub ended: Option<u64>,
     /// When a control node acknowledged that it leaves.
-    pub left_acked: Option<u64>,
+    pub drain_acked: Option<u64>,
     /// Of the service's configuration: requests a second that it bears while cold.
-    pub bears: f64,
+    pub cold_capacity: f64,
 }
 
 /// A configuration that an operator sent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sent {
+pub struct ConfigChange {
     /// The version.
     pub version: u32,
     /// The version that it builds on.
@@ -114,7 +114,7 @@
     /// When it was acknowledged, in milliseconds.
     pub acked: Option<u64>,
     /// Ended by a 4xx.
-    pub refused: Option<u16>,
+    pub rejected_with: Option<u16>,
     /// Whether it has to be taken, its base given.
     pub valid: bool,
     /// Route name to path prefix and the services it may go to.
@@ -124,7 +124,7 @@
     /// When a clear answer came.
     pub ended: Option<u64>,
     /// Sent again after its acknowledgement: when, when it was answered, and how.
-    pub again: Vec<(u64, u64, u16)>,
+    pub repeats: Vec<(u64, u64, u16)>,
 }
 
 /// A route of a configuration.
@@ -140,9 +140,9 @@
 
 /// An order on a zone, or a rollout.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct Operation {
     /// What it is.
-    pub what: What,
+    pub what: OperationKind,
     /// When, in milliseconds.
     pub at: u64,
     /// When it was acknowledged, in milliseconds.
@@ -153,7 +153,7 @@
 
 /// What an operation asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum OperationKind {
     /// A zone is evacuated, or taken back.
     Evacuate {
         /// The zone.
@@ -176,7 +176,7 @@
 
 /// Trouble on a machine, on the core (`core`), or everywhere (`*`), from one time to another.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trouble {
+pub struct InjectedFault {
     /// The machine.
     pub on: String,
     /// When it began, in milliseconds.
@@ -184,20 +184,20 @@
     /// When it ends, in milliseconds.
     pub until: u64,
     /// What it is, in words.
-    pub said: String,
+    pub description: String,
     /// A SIGTERM or a start that the platform planned: no excuse for a request that is lost.
     pub planned: bool,
 }
 
 /// A program that panicked, or ended by itself.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
+pub struct ProcessFailure {
     /// When, in milliseconds.
     pub at: u64,
     /// The machine.
     pub on: String,
     /// What it is, in words.
-    pub said: String,
+    pub description: String,
 }
 
 /// What a control node was asked by a unit, an operator or a client, and what it answered.
@@ -210,7 +210,7 @@
     /// When it ends, in milliseconds.
     pub until: u64,
     /// Method and path; a heartbeat that tells of a drain ends in ` draining`.
-    pub what: String,
+    pub request: String,
     /// None: no whole answer in time.
     pub status: Option<u16>,
 }
@@ -219,21 +219,21 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct History {
     /// Attempts by id.
-    pub asked: BTreeMap<String, ClientAttempt>,
+    pub attempts: BTreeMap<String, ClientAttempt>,
     /// Requests that came to units, in their order.
-    pub came: Vec<EndpointRequest>,
+    pub endpoint_requests: Vec<EndpointRequest>,
     /// Units by id.
     pub units: BTreeMap<String, EndpointLifetime>,
     /// Configurations that were sent, in their order.
-    pub configs: Vec<Sent>,
+    pub configs: Vec<ConfigChange>,
     /// Operations that were sent, in their order.
-    pub orders: Vec<Order>,
+    pub operations: Vec<Operation>,
     /// Faults that were injected.
-    pub troubles: Vec<Trouble>,
+    pub injected_faults: Vec<InjectedFault>,
     /// Programs that panicked or ended by themselves.
-    pub faults: Vec<Fault>,
+    pub process_failures: Vec<ProcessFailure>,
     /// SIGTERM of an edge machine, and when its process was gone.
-    pub leaves: Vec<(String, u64, u64)>,
+    pub proxy_shutdowns: Vec<(String, u64, u64)>,
     /// The configuration as read back at the end, if it came; and states of rollouts.
     pub read_back: Option<Vec<u8>>,
     /// When it was asked for.
@@ -241,15 +241,15 @@
     /// The state of the last rollout of each service, as read back.
     pub rollouts: BTreeMap<String, String>,
     /// Datagrams were lost, or disks failed, by chance: no time counts as settled.
-    pub flawed: bool,
+    pub has_random_faults: bool,
     /// The day's end, in ms.
     pub end: u64,
     /// After a closing fault: when the machines were back.
     pub closing: Option<u64>,
     /// Successes on connections where no request was waiting.
-    pub unasked_answers: u64,
+    pub unsolicited_responses: u64,
     /// What it is, in words.
-    pub said: Vec<ControlExchange>,
+    pub control_exchanges: Vec<ControlExchange>,
     /// Edge machine, start of its process, when it first said that it is ready: if the scenario asks for it.
     pub ready: Vec<(String, u64, u64)>,
 }
--- a/crates/beechcroft-simulator/src/cluster/mod.rs
+++ b/crates/beechcroft-simulator/src/cluster/mod.rs
@@ -17,5 +17,5 @@
 pub mod world;
 
 pub use checker::{Verdict, Violation};
-pub use run::{play, run_manually, ManualRun, Report};
+pub use run::{run_manual, simulate, ManualRun, Report};
 pub use scenario::Scenario;
--- a/crates/beechcroft-simulator/src/cluster/run/membership_watch.rs
+++ b/crates/beechcroft-simulator/src/cluster/run/membership_watch.rs
@@ -9,7 +9,7 @@
 
 impl ClusterRun {
     pub(super) async fn watches(self: Rc<Self>) {
-        let runtime = Runtime::simulated(Rc::new(self.world.network.seat(operator())));
+        let runtime = Runtime::simulated(Rc::new(self.world.network.host_network(operator())));
         loop {
             let cores: Vec<Rc<Machine>> = self
                 .machines
--- a/crates/beechcroft-simulator/src/cluster/run/operator_events.rs
+++ b/crates/beechcroft-simulator/src/cluster/run/operator_events.rs
@@ -8,7 +8,7 @@
         let (sent, held) = self.config(routes, drop, true);
         let prefix = held.last().map(|(_, route, _)| route.prefix.clone());
         if self.clone().replace(sent, held, Aim::From(nth)).await
-            && self.scenario.spread
+            && self.scenario.measure_config_spread
             && routes > 0
         {
             self.spreads(&prefix.unwrap_or_default()).await;
--- a/crates/beechcroft-simulator/src/cluster/run/unit_events.rs
+++ b/crates/beechcroft-simulator/src/cluster/run/unit_events.rs
@@ -46,11 +46,11 @@
             if let Some(host) = self
                 .world
                 .network
-                .with()
+                .state()
                 .hosts
                 .get_mut(standing.unit.at.ip())
             {
-                host.dark = !on;
+                host.is_powered_off = !on;
             }
         };
         for standing in &down {
--- a/crates/beechcroft-simulator/src/cluster/scenario.rs
+++ b/crates/beechcroft-simulator/src/cluster/scenario.rs
@@ -16,8 +16,8 @@
     #[garde(length(min = 1))]
     pub name: String,
     /// What goes wrong, in a sentence.
-    #[serde(default)]
-    pub about: String,
+    #[serde(default, rename = "about")]
+    pub description: String,
     /// The seed of all random numbers.
     #[serde(default = "one")]
     pub seed: u64,
@@ -59,8 +59,8 @@
     #[serde(default = "zone_ms")]
     pub sync_ms: u64,
     /// When power goes, of the records that were being written any first part may be found there, not batches alone.
-    #[serde(default)]
-    pub torn: bool,
+    #[serde(default, rename = "torn")]
+    pub torn_writes: bool,
     /// Of datagrams.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 0.9))]
@@ -70,26 +70,26 @@
     #[garde(range(min = 0.0, max = 0.9))]
     pub twice: f64,
     /// Flags of the programs.
-    #[serde(default)]
-    pub places: usize,
+    #[serde(default, rename = "places")]
+    pub usual_places: usize,
     /// Whether services get outlier rules by default.
-    #[serde(default)]
-    pub verdicts: bool,
+    #[serde(default, rename = "verdicts")]
+    pub outlier_detection: bool,
     /// Each edge machine is asked until it goes by a new configuration, to see how long that takes.
-    #[serde(default)]
-    pub spread: bool,
+    #[serde(default, rename = "spread")]
+    pub measure_config_spread: bool,
     /// Each core machine is asked which membership it holds, to see when one changes hands.
-    #[serde(default)]
-    pub memberships: bool,
+    #[serde(default, rename = "memberships")]
+    pub record_memberships: bool,
     /// Each edge machine is asked from its start on until it is ready, to see how long that takes.
-    #[serde(default)]
-    pub starts: bool,
+    #[serde(default, rename = "starts")]
+    pub measure_readiness: bool,
     /// By number: datagrams that are lost, syncs that do something else.
-    #[serde(default)]
-    pub lost_letters: Vec<u64>,
+    #[serde(default, rename = "lost_letters")]
+    pub lost_datagrams: Vec<u64>,
     /// Syncs that fail, by number.
-    #[serde(default)]
-    pub syncs: Vec<SyncFault>,
+    #[serde(default, rename = "syncs")]
+    pub sync_faults: Vec<InjectedSyncFault>,
     /// What happens.
     #[serde(default)]
     #[garde(dive)]
@@ -98,18 +98,19 @@
     #[serde(default)]
     pub mutant: Option<Mutant>,
     /// Of the control side's guards, one that is taken out of the programs' own text: tests must find it missing.
-    #[serde(default)]
-    pub without: Option<beechcroft_safeguards::Safeguard>,
+    #[serde(default, rename = "without")]
+    pub disabled_safeguard: Option<beechcroft_safeguards::Safeguard>,
 }
 
 /// What one sync does instead of its work.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct SyncFault {
+pub struct InjectedSyncFault {
     /// Its number, from 1, over all disks.
     pub number: u64,
     /// What it does.
-    pub does: SyncFailure,
+    #[serde(rename = "does")]
+    pub failure: SyncFailure,
 }
 
 /// What happens at one time.
@@ -121,19 +122,23 @@
     #[garde(range(min = 0.0, max = 3600.0))]
     pub at: f64,
     /// What happens.
-    pub what: What,
+    #[serde(rename = "what")]
+    pub kind: EventKind,
 }
 
 /// What meets a machine in trouble, and as it returns.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Meets {
+pub enum ConcurrentChange {
     /// A change of the configuration is sent to that machine first, during its trouble and as it returns.
-    Change,
+    #[serde(rename = "change")]
+    SingleChange,
     /// Two of them at once each time, the other one to another machine.
-    Race,
+    #[serde(rename = "race")]
+    ConflictingChanges,
     /// A change is sent to it alone, again and again until it answers.
-    Hard,
+    #[serde(rename = "hard")]
+    PersistentChange,
     /// Units of its zone leave soon after it is back.
     Drain,
 }
@@ -156,25 +161,30 @@
 /// The moment right after which a strike comes.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum After {
+pub enum FaultTrigger {
     /// A change was acknowledged.
     #[default]
-    Acked,
+    #[serde(rename = "acked")]
+    ConfigAcknowledged,
     /// A change was sent, acknowledged or not.
-    Sent,
+    #[serde(rename = "sent")]
+    ConfigSent,
     /// A client's write was answered with success.
-    Taken,
+    #[serde(rename = "taken")]
+    WriteSucceeded,
     /// An evacuation was acknowledged; it is taken back 8 s after the machines return.
-    Evacuated,
+    #[serde(rename = "evacuated")]
+    EvacuationAcknowledged,
     /// A unit's word that it leaves was acknowledged.
-    Drained,
+    #[serde(rename = "drained")]
+    DrainAcknowledged,
 }
 
 /// What is planned, and what goes wrong. `on`: machines whose name begins so, a zone or a region; `leader`: the core
 /// machine that acknowledged last; `reader`: the one whose directory was read last.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum What {
+pub enum EventKind {
     /// A configuration with so many routes more; `drop`: and without one that was added before.
     Config {
         /// Routes that are added.
@@ -185,33 +195,40 @@
         drop: bool,
     },
     /// One that changes something else than routes' prefixes.
-    Alter {
+    #[serde(rename = "alter")]
+    ChangeSettings {
         /// What it changes.
         change: Change,
     },
     /// Trouble of a core machine, and what it is sent meanwhile and as it returns.
-    Met {
+    #[serde(rename = "met")]
+    FaultWithChanges {
         /// What meets the machine.
-        by: Meets,
+        #[serde(rename = "by")]
+        concurrent_change: ConcurrentChange,
         /// What happens.
-        what: Box<What>,
+        #[serde(rename = "what")]
+        fault: Box<EventKind>,
     },
     /// Two of them at once on the same version, sent to different control nodes.
-    Race,
+    #[serde(rename = "race")]
+    ConflictingConfigs,
     /// Two of them at once, different ones under the same number.
-    Twins,
+    #[serde(rename = "twins")]
+    SameVersionTwice,
     /// A configuration that has to be refused.
-    Invalid,
+    #[serde(rename = "invalid")]
+    InvalidConfig,
     /// A version is rolled out.
     Rollout {
         /// The service.
         service: String,
         /// Part of requests that fail.
-        #[serde(default)]
-        fails: f64,
+        #[serde(default, rename = "fails")]
+        failure_rate: f64,
         /// Times the time that a request should take.
-        #[serde(default)]
-        slow: f64,
+        #[serde(default, rename = "slow")]
+        slowdown: f64,
         /// The ramp, in seconds.
         #[serde(default = "ramp")]
         ramp_s: f64,
@@ -224,21 +241,24 @@
         for_s: f64,
     },
     /// Units say that they leave, are acknowledged, and end.
-    Drain {
+    #[serde(rename = "drain")]
+    DrainUnits {
         /// The service.
         service: String,
         /// How many.
         count: usize,
     },
     /// Units that are new and cold.
-    Add {
+    #[serde(rename = "add")]
+    AddUnits {
         /// The service.
         service: String,
         /// How many.
         count: usize,
     },
     /// Units end without a word; their addresses go to another service's after 2 s if `reuse`.
-    Crash {
+    #[serde(rename = "crash")]
+    CrashUnits {
         /// The service.
         service: String,
         /// How many.
@@ -248,7 +268,8 @@
         reuse: bool,
     },
     /// Units are ill for a while.
-    Ill {
+    #[serde(rename = "ill")]
+    ImpairUnits {
         /// The service.
         service: String,
         /// How many.
@@ -256,23 +277,24 @@
         /// How long, in seconds.
         for_s: f64,
         /// Part of requests that fail.
-        #[serde(default)]
-        fails: f64,
+        #[serde(default, rename = "fails")]
+        failure_rate: f64,
         /// Times the time that a request should take.
-        #[serde(default)]
-        slow: f64,
+        #[serde(default, rename = "slow")]
+        slowdown: f64,
         /// Part of responses that are lost.
-        #[serde(default)]
-        loses: f64,
+        #[serde(default, rename = "loses")]
+        response_loss_rate: f64,
         /// Part of responses that are not HTTP.
-        #[serde(default)]
-        spoils: f64,
+        #[serde(default, rename = "spoils")]
+        malformed_response_rate: f64,
         /// Whether health checks say the opposite.
-        #[serde(default)]
-        lies: bool,
+        #[serde(default, rename = "lies")]
+        inverts_health: bool,
     },
     /// A part of the answers of units is wrong for a while.
-    Answers {
+    #[serde(rename = "answers")]
+    FaultyResponses {
         /// The service.
         service: String,
         /// How many.
@@ -282,10 +304,12 @@
         /// The part.
         part: f64,
         /// What is wrong.
-        wrong: ResponseFault,
+        #[serde(rename = "wrong")]
+        fault: ResponseFault,
     },
     /// Units lose power without a word, and come back at their addresses under other names.
-    Dark {
+    #[serde(rename = "dark")]
+    UnitPowerLoss {
         /// The service.
         service: String,
         /// How many.
@@ -294,7 +318,8 @@
         for_s: f64,
     },
     /// Units go down and up by turns.
-    Flap {
+    #[serde(rename = "flap")]
+    FlapUnits {
         /// The service.
         service: String,
         /// How many.
@@ -305,7 +330,8 @@
         every_s: f64,
     },
     /// Units turn cold.
-    Cold {
+    #[serde(rename = "cold")]
+    CoolUnits {
         /// The service.
         service: String,
         /// How many.
@@ -320,7 +346,8 @@
         down_s: f64,
     },
     /// SIGTERM; then a new start.
-    Term {
+    #[serde(rename = "term")]
+    Restart {
         /// The machines.
         on: String,
     },
@@ -332,7 +359,8 @@
         for_s: f64,
     },
     /// Machines lose power, and have it again after a while.
-    Power {
+    #[serde(rename = "power")]
+    PowerLoss {
         /// The machines.
         on: String,
         /// How long they are down, in seconds.
@@ -340,7 +368,8 @@
         down_s: f64,
     },
     /// The same, and their disks are lost.
-    Wipe {
+    #[serde(rename = "wipe")]
+    DiskLoss {
         /// The machines.
         on: String,
         /// How long they are down, in seconds.
@@ -348,7 +377,8 @@
         down_s: f64,
     },
     /// Processes are killed, and a record on their disks cannot be read any more as they start again.
-    Damage {
+    #[serde(rename = "damage")]
+    DamagedRecord {
         /// The machines.
         on: String,
         /// The record's key.
@@ -358,12 +388,14 @@
         down_s: f64,
     },
     /// A core machine is gone for good; an empty one comes at another address.
-    Replace {
+    #[serde(rename = "replace")]
+    ReplaceMachine {
         /// The machines.
         on: String,
     },
     /// Machines cannot reach each other for a while.
-    Cut {
+    #[serde(rename = "cut")]
+    Partition {
         /// The one side.
         from: String,
         /// The other side; `*`: all others.
@@ -387,14 +419,16 @@
         for_s: f64,
     },
     /// Datagrams are lost for a while.
-    Loss {
+    #[serde(rename = "loss")]
+    DatagramLoss {
         /// The part.
         part: f64,
         /// How long, in seconds.
         for_s: f64,
     },
     /// Clocks are wrong from now on.
-    Skew {
+    #[serde(rename = "skew")]
+    ClockSkew {
         /// The machines.
         on: String,
         /// By how much, in milliseconds.
@@ -409,7 +443,8 @@
     },
     /// Many changes, one each so many ms. Parts of them: whose answers are lost on their way, that race another one on
     /// the same version, after which the newest one is sent again.
-    Storm {
+    #[serde(rename = "storm")]
+    ChangeStorm {
         /// How many.
         count: usize,
         /// The time between two of them, in milliseconds.
@@ -425,7 +460,8 @@
         again: f64,
     },
     /// Answers to the operators are lost on their way.
-    Unheard {
+    #[serde(rename = "unheard")]
+    LostOperatorResponses {
         /// The part.
         part: f64,
         /// How long, in seconds.
@@ -433,7 +469,8 @@
     },
     /// The settings name other seeds, the core machines called `first` before the others; so many edge machines are
     /// killed and started anew.
-    Seeds {
+    #[serde(rename = "seeds")]
+    ChangeSeeds {
         /// The control nodes that come first.
         first: String,
         /// Proxies that start by the new seeds.
@@ -442,7 +479,8 @@
     },
     /// SIGTERM to one machine after the other; `remove`: a new one starts elsewhere first, and the old one leaves for
     /// good.
-    Roll {
+    #[serde(rename = "roll")]
+    RollingRestart {
         /// The machines.
         on: String,
         /// Whether each is replaced for good.
@@ -452,7 +490,8 @@
         every_s: f64,
     },
     /// A share of the machines is killed at once.
-    Herd {
+    #[serde(rename = "herd")]
+    MassFailure {
         /// The machines.
         on: String,
         /// The share of them.
@@ -466,12 +505,13 @@
     },
     /// Machines are killed, or lose power, so many ms after something; disks of `wipe` are lost. `closing`: the end of
     /// the day is judged as after a closing fault.
-    Strike {
+    #[serde(rename = "strike")]
+    TriggeredFault {
         /// The machines.
         on: String,
         /// After what it comes.
         #[serde(default)]
-        after: After,
+        after: FaultTrigger,
         /// How long after that, in milliseconds.
         #[serde(default)]
         wait_ms: u64,
@@ -489,7 +529,8 @@
         closing: bool,
     },
     /// Every machine loses power, or every process is killed, right after a configuration was acknowledged.
-    Closing {
+    #[serde(rename = "closing")]
+    FinalFault {
         /// Whether they lose power; else processes are killed.
         #[serde(default)]
         power: bool,
@@ -507,47 +548,89 @@
 #[strum(serialize_all = "snake_case")]
 pub enum Mutant {
     /// An edge answers with the first half of the body as if it were whole.
-    HalfBodies,
+    #[serde(rename = "half_bodies")]
+    #[strum(serialize = "half_bodies")]
+    TruncatedBodies,
     /// An edge changes the path on its way to the unit.
-    OtherPaths,
+    #[serde(rename = "other_paths")]
+    #[strum(serialize = "other_paths")]
+    AlteredPaths,
     /// What must not run twice is sent to a second unit as well.
-    SecondCopies,
+    #[serde(rename = "second_copies")]
+    #[strum(serialize = "second_copies")]
+    DuplicateWrites,
     /// A 504 is handed to the client as 503.
-    FalsePromises,
+    #[serde(rename = "false_promises")]
+    #[strum(serialize = "false_promises")]
+    FalseNotExecuted,
     /// Proper requests are answered 403.
-    Denies,
+    #[serde(rename = "denies")]
+    #[strum(serialize = "denies")]
+    RejectsValidRequests,
     /// News among proxies never come: drains, evacuations, configurations.
-    NoNews,
+    #[serde(rename = "no_news")]
+    #[strum(serialize = "no_news")]
+    NoGossip,
     /// Requests are broken off at SIGTERM.
-    HastyEnds,
+    #[serde(rename = "hasty_ends")]
+    #[strum(serialize = "hasty_ends")]
+    AbruptShutdown,
     /// Every repeatable request is sent five times.
-    ManyTries,
+    #[serde(rename = "many_tries")]
+    #[strum(serialize = "many_tries")]
+    ExcessiveRetries,
     /// No trial is ever voted back, and it gets all requests.
-    BlindTrials,
+    #[serde(rename = "blind_trials")]
+    #[strum(serialize = "blind_trials")]
+    UncontrolledCanary,
     /// Cold units are sent to like warm ones.
-    ColdIsWarm,
+    #[serde(rename = "cold_is_warm")]
+    #[strum(serialize = "cold_is_warm")]
+    IgnoresWarmup,
     /// Homes are not heeded.
-    Homeless,
+    #[serde(rename = "homeless")]
+    #[strum(serialize = "homeless")]
+    IgnoresHomeRegions,
     /// Evacuations are not heeded.
-    StaysThere,
+    #[serde(rename = "stays_there")]
+    #[strum(serialize = "stays_there")]
+    IgnoresEvacuation,
     /// Disks say that they have synced and have not.
-    LyingDisks,
+    #[serde(rename = "lying_disks")]
+    #[strum(serialize = "lying_disks")]
+    FalseSync,
     /// A proxy goes back to an older configuration.
-    GoesBack,
+    #[serde(rename = "goes_back")]
+    #[strum(serialize = "goes_back")]
+    ConfigRollback,
     /// Two configurations on the same version are both acknowledged.
-    BothWin,
+    #[serde(rename = "both_win")]
+    #[strum(serialize = "both_win")]
+    AcceptsConflicts,
     /// Nothing is served after a loss of power.
-    StaysDown,
+    #[serde(rename = "stays_down")]
+    #[strum(serialize = "stays_down")]
+    NoRecovery,
     /// Requests go to units whose address another service has now, without naming the unit.
-    AnyUnit,
+    #[serde(rename = "any_unit")]
+    #[strum(serialize = "any_unit")]
+    IgnoresTargetUnit,
     /// A control node takes a configuration once, and refuses it when it is sent again.
-    TakesOnce,
+    #[serde(rename = "takes_once")]
+    #[strum(serialize = "takes_once")]
+    RejectsRepeats,
     /// A control node is silent to every order.
-    Mute,
+    #[serde(rename = "mute")]
+    #[strum(serialize = "mute")]
+    UnresponsiveControl,
     /// A task of an edge panics; the others go on.
-    Panics,
+    #[serde(rename = "panics")]
+    #[strum(serialize = "panics")]
+    TaskPanic,
     /// An edge ends by itself, as if all were well.
-    Quits,
+    #[serde(rename = "quits")]
+    #[strum(serialize = "quits")]
+    UnexpectedExit,
 }
 
 fn one() -> u64 {
@@ -606,16 +689,16 @@
                 .iter()
                 .any(|held| held.0 == service)
         };
-        let service = match &event.what {
-            What::Rollout { service, .. }
-            | What::Drain { service, .. }
-            | What::Add { service, .. } => service,
-            What::Crash { service, .. }
-            | What::Ill { service, .. }
-            | What::Cold { service, .. } => service,
-            What::Flap { service, .. }
-            | What::Dark { service, .. }
-            | What::Answers { service, .. } => service,
+        let service = match &event.kind {
+            EventKind::Rollout { service, .. }
+            | EventKind::DrainUnits { service, .. }
+            | EventKind::AddUnits { service, .. } => service,
+            EventKind::CrashUnits { service, .. }
+            | EventKind::ImpairUnits { service, .. }
+            | EventKind::CoolUnits { service, .. } => service,
+            EventKind::FlapUnits { service, .. }
+            | EventKind::UnitPowerLoss { service, .. }
+            | EventKind::FaultyResponses { service, .. } => service,
             _ => return Ok(()),
         };
         match known(service) {
--- a/crates/beechcroft-simulator/src/cluster/world.rs
+++ b/crates/beechcroft-simulator/src/cluster/world.rs
@@ -17,13 +17,13 @@
 /// The port of a unit.
 pub const UNIT_PORT: u16 = 8080;
 /// The port that control nodes serve units and operators on.
-pub const CONTROL: u16 = 8544;
+pub const CONTROL_PORT: u16 = 8544;
 /// The port that control nodes serve the directory on.
-pub const DIRECTORY: u16 = 8546;
+pub const DIRECTORY_PORT: u16 = 8546;
 /// The port that proxies serve clients on.
-pub const INGRESS: u16 = 8548;
+pub const INGRESS_PORT: u16 = 8548;
 /// The port that proxies serve their readiness on.
-pub const READY: u16 = 8542;
+pub const READINESS_PORT: u16 = 8542;
 
 /// What all actors share.
 pub struct World {
@@ -83,7 +83,7 @@
     }
 
     /// Asks a control node, and writes down what it said. `also`: what the path does not tell.
-    pub async fn ask_control(
+    pub async fn call_control(
         &self,
         runtime: &Runtime,
         to: SocketAddrV4,
@@ -91,13 +91,13 @@
         body: &[u8],
         within: Duration,
     ) -> Option<(u16, Vec<u8>)> {
-        self.ask_control_at(runtime, to, ask, body, within)
+        self.call_control_with_location(runtime, to, ask, body, within)
             .await
             .map(|(status, body, _)| (status, body))
     }
 
     /// The same, with where it sends its caller on to.
-    pub async fn ask_control_at(
+    pub async fn call_control_with_location(
         &self,
         runtime: &Runtime,
         to: SocketAddrV4,
@@ -112,17 +112,17 @@
             control_node: self.name_of(*to.ip()),
             at,
             until: self.now(),
-            what: format!("{method} {path}{also}"),
+            request: format!("{method} {path}{also}"),
             status: answer.as_ref().map(|answer| answer.0),
         };
-        self.history.borrow_mut().said.push(said);
+        self.history.borrow_mut().control_exchanges.push(said);
         answer
     }
 
     /// The name of the machine with that address.
     pub(super) fn name_of(&self, ip: Ipv4Addr) -> String {
         self.network
-            .with()
+            .state()
             .hosts
             .get(&ip)
             .map(|host| host.name.clone())
