--- a/crates/beechcroft-simulator/src/cluster/checker.rs
+++ b/crates/beechcroft-simulator/src/cluster/checker.rs
@@ -1,47 +1,47 @@
-//! The checker: judges the rules by what crossed the network alone, as RULES states them. It knows nothing of what
-//! the programs believe. The first violation of each rule is told as the story of one request.
+//! The checker: verifies the rules of RULES against the recorded history alone. It knows nothing of the internal state
+//! of the programs. For each rule it counts the violations and describes the first one.
 
 use super::history::{ClientAttempt, ConfigChange, EndpointRequest, History, OperationKind};
 use super::response_faults::STRAY;
 use super::unit::Unit;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Figures of the rules, in ms and parts.
+/// Time limits and shares that the rules allow.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    /// How long after a fault a machine still counts as out of touch.
+    /// For this long after a fault a machine still counts as not in contact.
     pub contact_ms: u64,
-    /// Until a configuration that was acknowledged is in force at every proxy in touch.
+    /// Time from a configuration's acknowledgement until every proxy in contact must apply it.
     pub apply_ms: u64,
-    /// Until an operation is acknowledged in a settled time.
+    /// Time within which an operation must be acknowledged while the core is stable.
     pub ack_ms: u64,
-    /// For this long an older configuration may still show after a newer one.
+    /// For this long the effects of an older configuration may follow those of a newer one.
     pub revert_ms: u64,
-    /// Until no request goes to a unit whose drain was acknowledged.
+    /// Time from a drain's acknowledgement until no request may reach the unit.
     pub drain_ms: u64,
-    /// Until no request goes to a zone whose evacuation was acknowledged.
+    /// Time from an evacuation's acknowledgement until no request may reach the zone.
     pub evacuate_ms: u64,
-    /// Until a version that was voted back gets no request.
+    /// Time from the 50th failure of a faulty version until it may get no request.
     pub rollback_ms: u64,
-    /// How long after SIGTERM a proxy may take to end its requests.
+    /// Time that a proxy has after SIGTERM to finish its requests in flight.
     pub grace_ms: u64,
-    /// An attempt that ends this soon without having reached a unit needs no excuse.
+    /// An attempt that ends within this time without having reached a unit does not count as lost.
     pub loss_slack_ms: u64,
-    /// Until requests are served again after a loss of power.
+    /// Time from the restart after a final fault until requests must be served again.
     pub recovery_ms: u64,
-    /// Retries for each request, over the window.
+    /// Retries per request over the window.
     pub retry_budget: f64,
-    /// The window of the retry budget.
+    /// Length of the window of the retry budget.
     pub retry_window_ms: u64,
-    /// Retries beyond the budget, over the window.
+    /// Additional retries over the window.
     pub retry_extra: f64,
-    /// Part of a service's requests that a bad version may get.
+    /// Share of a service's requests that a faulty version may get.
     pub canary_share: f64,
-    /// Requests beyond that part.
+    /// Additional requests that it may get.
     pub canary_margin: f64,
-    /// Times the rate that a cold unit bears that it may get.
+    /// Factor on the rate that a cold unit can serve.
     pub warmup_excess: f64,
-    /// Requests beyond that rate.
+    /// Additional requests a second that a cold unit may get.
     pub warmup_margin: f64,
 }
 
@@ -69,52 +69,52 @@
     }
 }
 
-/// A rule that was broken, how often, and one case of it.
+/// A rule that was violated, how often, and an example.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The rule, by its name in RULES.
+    /// The rule's name in RULES.
     pub rule: &'static str,
-    /// How often it was broken.
+    /// Number of violations.
     pub count: usize,
-    /// The way of one request or operation that broke it.
+    /// Description of the first request or operation that violated it.
     pub example: String,
 }
 
-/// What became of the day.
+/// The result of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// Rules that were broken.
+    /// Violated rules, by name.
     pub violations: Vec<Violation>,
-    /// Requests (not tries), and those that were served.
+    /// Client requests, each with all its attempts counted once.
     pub requests: usize,
-    /// Requests that were served.
+    /// Requests that were answered with a 2xx status.
     pub served: usize,
-    /// Good versions that did not complete, bad ones that were not reverted.
+    /// Rollouts of good versions that did not complete, and of faulty ones that were not reverted.
     pub missed_rollouts: Vec<String>,
-    /// Milliseconds of served requests from their first try: 50th and 99th of a hundred.
+    /// Median latency of served requests from their first attempt, in milliseconds.
     pub p50_ms: u64,
-    /// The 99th percentile of the same.
+    /// 99th percentile of the same.
     pub p99_ms: u64,
 }
 
-/// Where a proxy routed an attempt.
+/// The observable routing of one attempt by a proxy.
 struct RoutingEffect<'a> {
     at: u64,
     id: &'a str,
     attempt: &'a ClientAttempt,
-    /// The service of the unit that it reached; `None`: it was told that there is no route.
+    /// Service of the unit that it reached; `None` if the proxy responded that there is no route.
     service: Option<&'a str>,
 }
 
 struct Checker<'a> {
     history: &'a History,
     bounds: &'a Bounds,
-    /// What came to units for each try.
+    /// Requests that arrived at units, by attempt id.
     runs: BTreeMap<&'a str, Vec<&'a EndpointRequest>>,
     found: BTreeMap<&'static str, Violation>,
 }
 
-/// Checks every rule against what clients, units and operators saw.
+/// Checks every rule against what clients, units and the operator saw.
 pub fn check_history(history: &History, bounds: &Bounds) -> Verdict {
     let mut runs: BTreeMap<&str, Vec<&EndpointRequest>> = BTreeMap::new();
     for came in &history.endpoint_requests {
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Whether a machine was in touch at a time.
+    /// Whether a machine was in contact at a time, that is, without a recent fault of its own, of the core or everywhere.
     fn in_touch(&self, machine: &str, at: u64) -> bool {
         let from = at.saturating_sub(self.bounds.contact_ms);
         let touches = |on: &str| on == "*" || on == "core" || on == machine;
@@ -222,7 +222,7 @@
             .any(|t| touches(&t.on) && t.from <= at && t.until >= from)
     }
 
-    /// Whether one machine itself had no unplanned trouble for a while before a time.
+    /// Whether a machine had no unplanned fault of its own over a time span and shortly before it.
     fn is_calm(&self, machine: &str, from: u64, to: u64) -> bool {
         let from = from.saturating_sub(self.bounds.contact_ms);
         let touches = |on: &str| on == "*" || on == machine;
@@ -236,7 +236,7 @@
         self.runs.get(id).cloned().unwrap_or_default()
     }
 
-    /// One request's way, in short sentences.
+    /// Describes the course of one attempt.
     fn tell(&self, id: &str, asked: &ClientAttempt) -> String {
         let mut example = format!(
             "{id}: {} {} sent by a client of {} to {} at {} ms",
@@ -262,7 +262,7 @@
         example
     }
 
-    /// MIXED, TWICE, REFUSED, LOST: what clients were answered.
+    /// Rules MIXED, TWICE, REFUSED and LOST: the responses to clients.
     fn answers(&mut self) {
         if self.history.unsolicited_responses > 0 {
             let times = self.history.unsolicited_responses;
@@ -334,11 +334,11 @@
         }
     }
 
-    /// A connection that closed with no whole answer, around planned work.
+    /// Rule LOST: a connection that closed without a complete response, around a planned operation.
     fn lost(&mut self, id: &str, asked: &ClientAttempt, ended: u64, runs: &[&EndpointRequest]) {
         let came = self.runs(id);
         let broke = came.iter().any(|came| came.response_failed);
-        // One that was never sent on may have been closed unread, for a moment.
+        // A request that was never forwarded may have met a connection that was just being closed.
         if came.is_empty() && ended <= asked.at + self.bounds.loss_slack_ms {
             return;
         }
@@ -368,7 +368,7 @@
         }
     }
 
-    /// UNASKED, ROUTE, DRAIN, HOME, EVAC: what came to units.
+    /// Rules UNASKED, ROUTE, DRAIN, HOME and EVAC: the requests that arrived at units.
     fn arrivals(&mut self) {
         for came in &self.history.endpoint_requests {
             if came.was_misdirected {
@@ -440,7 +440,7 @@
         }
     }
 
-    /// Whether a zone's evacuation was acknowledged long enough ago, and has not been taken back.
+    /// Whether a zone's evacuation was acknowledged long enough ago, and has not been ended since.
     fn is_evacuated(&self, zone: &str, at: u64) -> bool {
         let mut since = None;
         for order in &self.history.operations {
@@ -455,7 +455,7 @@
         since.is_some_and(|acked| at > acked + self.bounds.evacuate_ms)
     }
 
-    /// CONFIG: which versions allow what was done, and when.
+    /// Rules CONFIG and LOST: which configuration versions were acknowledged, applied and read back.
     /// Rule CONFIG and rule LOST.
     fn configurations(&mut self) {
         self.invalid_configs_acknowledged();
@@ -497,7 +497,7 @@
         }
     }
 
-    /// A configuration that was acknowledged is sent again, and is rejected without another change in between.
+    /// Rule CONFIG: an acknowledged configuration is sent again and rejected, without another change in between.
     fn repeats_rejected(&mut self) {
         let history = self.history;
         for config in &history.configs {
@@ -506,7 +506,7 @@
                 .iter()
                 .filter(|(_, _, status)| *status >= 400)
             {
-                // Any other change that was under way since its acknowledgement may have come after it.
+                // Any other change in flight since the acknowledgement may have replaced it.
                 let since = config.acked.unwrap_or(from);
                 let other = |c: &&ConfigChange| {
                     c.body != config.body
@@ -530,8 +530,8 @@
         }
     }
 
-    /// When the processes of each machine began, apart from the first time. A kill, a loss of power or a stop ends a
-    /// process; a cut or a freeze does not.
+    /// When the processes of each machine restarted. A kill, a power loss or a shutdown ends a process; a partition or a
+    /// freeze does not.
     fn process_starts(&self) -> BTreeMap<&'a str, Vec<u64>> {
         let history = self.history;
         let mut lives: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
@@ -551,8 +551,8 @@
         lives
     }
 
-    /// What shows by which configuration a proxy went: requests that reached a unit, and responses that say that there
-    /// is no route. In the order of their times.
+    /// The effects that show which configuration a proxy applied, sorted by time: requests that reached a unit, and
+    /// responses that there is no route.
     fn routing_effects(&self) -> Vec<RoutingEffect<'a>> {
         let history = self.history;
         let mut events: Vec<RoutingEffect> = Vec::new();
@@ -591,11 +591,11 @@
         events
     }
 
-    /// Each proxy goes by a configuration that was not rejected, not by older ones than it did before, and by one that
-    /// was acknowledged in time.
+    /// Rule CONFIG: a proxy applies only configurations that were not rejected, never an older one than before, and each
+    /// acknowledged one in time.
     fn config_versions_applied(&mut self) {
         let history = self.history;
-        // By edge: the newest version whose effect was seen, and when.
+        // By edge: the newest version whose effect was observed, and when.
         let mut seen: BTreeMap<&str, (u32, u64)> = BTreeMap::new();
         let lives = self.process_starts();
         let may: Vec<&ConfigChange> = history
@@ -634,7 +634,7 @@
                 continue;
             }
             let (oldest, newest) = (versions[0], versions[versions.len() - 1]);
-            // What was acknowledged long enough before it was sent is the least that may have been used.
+            // The proxy must apply at least what was acknowledged long enough before the attempt was sent.
             let due = |c: &&ConfigChange| {
                 c.acked
                     .is_some_and(|acked| asked.at > acked + self.bounds.apply_ms)
@@ -687,7 +687,7 @@
     fn config_read_back(&mut self) {
         let history = self.history;
         let acked = self.acknowledged_configs();
-        // Unless it never came, only what was acknowledged before it was asked for counts.
+        // Only what was acknowledged before the read counts, unless the read failed.
         let before = |c: &&&ConfigChange| {
             history.read_back.is_none() || c.acked.is_some_and(|at| at < history.read_at)
         };
@@ -717,7 +717,7 @@
         }
     }
 
-    /// BUDGET: arrivals beyond the first of each request, over sliding windows.
+    /// Rule BUDGET: arrivals beyond the first of each attempt, over sliding windows.
     fn budget(&mut self) {
         let window = self.bounds.retry_window_ms;
         let mut again: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
@@ -781,7 +781,7 @@
         }
     }
 
-    /// FAILBACK: requests to a cold unit that were sent and arrived within one second.
+    /// Rule FAILBACK: requests that were sent and arrived at a cold unit within the same second.
     fn cold(&mut self) {
         let mut by_unit: BTreeMap<&str, Vec<(u64, u64)>> = BTreeMap::new();
         for came in self
@@ -821,7 +821,7 @@
         }
     }
 
-    /// EXPOSURE: what a bad version gets.
+    /// Rule EXPOSURE: the requests that a faulty version gets.
     fn rollouts(&mut self) {
         let history = self.history;
         for order in &history.operations {
@@ -885,7 +885,7 @@
         }
     }
 
-    /// DENIED: answers of the system's own to proper requests.
+    /// Rule DENIED: rejections of valid requests by the system itself.
     fn denied(&mut self) {
         let history = self.history;
         let mut denied = Vec::new();
@@ -910,7 +910,8 @@
         }
     }
 
-    /// Acks: proper orders that wait for long in one settled time. LOST: rollouts that nobody knows of any more.
+    /// Rule Acks: valid operations that wait too long while the core is stable. Rule LOST: rollouts that no control node
+    /// knows any more.
     fn acks(&mut self) {
         let history = self.history;
         let configs = history
@@ -980,7 +981,7 @@
         }
     }
 
-    /// Fault: a program that panicked, or ended by itself, whatever went on around it.
+    /// Rule Fault: a program that panicked or exited unexpectedly, whatever faults were injected.
     fn faults(&mut self) {
         for fault in &self.history.process_failures {
             self.violation("Fault", || {
@@ -989,7 +990,7 @@
         }
     }
 
-    /// RECOVER, after a closing fault.
+    /// Rule RECOVER: requests are served again after a final fault.
     fn recovery(&mut self) {
         let Some(back) = self.history.closing else {
             return;
@@ -1021,7 +1022,7 @@
     }
 }
 
-/// The route of a configuration that a path has: the longest prefix.
+/// The route of a configuration that matches a path: the one with the longest prefix.
 fn best<'c>(config: &'c ConfigChange, path: &str) -> Option<&'c super::history::Route> {
     let fits = config
         .routes
--- a/crates/beechcroft-simulator/src/cluster/client.rs
+++ b/crates/beechcroft-simulator/src/cluster/client.rs
@@ -1,4 +1,4 @@
-//! Clients of one zone: they resolve the directory, send requests to proxies and retry them as PROTOCOL says.
+//! Clients of one zone: they resolve the directory, send requests to proxies and retry them as PROTOCOL specifies.
 
 use super::history::{ClientAttempt, ClientResponse};
 use super::http::{header, read_response};
@@ -13,24 +13,24 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// Attempts of one request.
+/// Maximum attempts of one request.
 const ATTEMPTS: u32 = 4;
 
-/// What clients of one zone hold in common.
+/// State shared by the clients of one zone.
 pub struct Clients {
-    /// Their zone.
+    /// Zone of the clients.
     pub zone: String,
-    /// Its region.
+    /// Region of the zone.
     pub region: String,
-    /// The network as their machine sees it.
+    /// Network of the clients' host.
     pub runtime: Runtime,
-    /// Addresses of proxies, as the directory named them last.
+    /// Addresses of proxies from the last directory response.
     pub found: RefCell<Vec<SocketAddrV4>>,
     idle: RefCell<BTreeMap<SocketAddrV4, Vec<Connection>>>,
 }
 
 impl Clients {
-    /// Clients that have resolved nothing yet.
+    /// Creates clients that have not resolved the directory yet.
     pub fn new(zone: &str, region: &str, runtime: Runtime) -> Clients {
         let (found, idle) = (RefCell::default(), RefCell::default());
         Clients {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Asks the directory again and again.
+    /// Resolves the directory repeatedly, each time after the TTL of the last response.
     pub async fn resolve(self: Rc<Self>, world: Rc<World>) {
         loop {
             let path = format!(
@@ -89,22 +89,22 @@
     }
 }
 
-/// A kind of request.
+/// A kind of request that clients send.
 #[derive(Clone, Debug)]
 pub struct RequestKind {
-    /// The name of the route that it takes.
+    /// Name of the expected route.
     pub route: String,
-    /// The beginning of its path.
+    /// Path prefix of the requests.
     pub prefix: String,
-    /// Whether it may be executed more than once.
+    /// Whether the request may be executed more than once.
     pub is_idempotent: bool,
-    /// How long the client waits, in milliseconds.
+    /// Timeout of the client, in milliseconds.
     pub deadline_ms: u64,
-    /// Bytes of its body.
+    /// Size of the body of non-idempotent requests, in bytes.
     pub body: usize,
 }
 
-/// One request of a client, with its tries.
+/// Sends one request of a client, with retries.
 pub async fn request(world: Rc<World>, clients: Rc<Clients>, kind: RequestKind) {
     let request = world.number();
     let began = world.now();
@@ -165,7 +165,7 @@
     }
 }
 
-/// One request to one edge machine.
+/// Sends one request without retries to one edge machine.
 pub async fn ask_at(
     world: &Rc<World>,
     clients: &Rc<Clients>,
@@ -193,7 +193,7 @@
         .status
 }
 
-/// Sends an attempt; the history gets it at once, and its response when that has come.
+/// Sends an attempt, and records it at once and its outcome when it ends.
 async fn record_attempt(
     world: &Rc<World>,
     clients: &Rc<Clients>,
--- a/crates/beechcroft-simulator/src/cluster/disk.rs
+++ b/crates/beechcroft-simulator/src/cluster/disk.rs
@@ -32,7 +32,7 @@
 pub struct State {
     /// What lasts.
     pub table: Table,
-    /// How long a sync takes, in milliseconds.
+    /// Duration of a disk sync, in milliseconds.
     pub sync_ms: u64,
     /// Of the syncs that are under way: each may last or not if power goes.
     pending: BTreeMap<u64, Records>,
--- a/crates/beechcroft-simulator/src/cluster/history.rs
+++ b/crates/beechcroft-simulator/src/cluster/history.rs
@@ -1,87 +1,88 @@
-//! What crossed the network: all that the checker knows. Times are milliseconds since the world's beginning.
+//! The recorded history of a run: what crossed the network, which is all that the checker knows. Times are in
+//! milliseconds since the start of the simulation.
 
 use std::collections::BTreeMap;
 
-/// A try of a client: each carries an id of its own.
+/// One attempt of a client's request; each attempt has its own id.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientAttempt {
-    /// When, in milliseconds.
+    /// Time, in milliseconds.
     pub at: u64,
-    /// The client's request that it is a try of, and which try.
+    /// The client's request that the attempt belongs to.
     pub request: u64,
-    /// Which attempt of the request, from 0.
+    /// Number of the attempt within the request, from 0.
     pub attempt_number: u32,
-    /// The name of its route.
+    /// Name of the route.
     pub route: String,
-    /// The method.
+    /// HTTP method.
     pub method: &'static str,
     /// The path.
     pub path: String,
     /// The body.
     pub body: Vec<u8>,
-    /// Whether it may be executed more than once.
+    /// Whether the request may be executed more than once.
     pub is_idempotent: bool,
-    /// The edge machine that it went to, and where the client is.
+    /// The edge machine that it was sent to.
     pub edge: String,
-    /// The region.
+    /// Region.
     pub region: String,
-    /// When its client gives up, in milliseconds.
+    /// The client's deadline, in milliseconds.
     pub deadline: u64,
-    /// How it ended, once it has.
+    /// The outcome, once there is one.
     pub answer: Option<ClientResponse>,
 }
 
-/// How an attempt ended, as its client saw it.
+/// The outcome of an attempt as its client saw it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientResponse {
-    /// When, in milliseconds.
+    /// Time, in milliseconds.
     pub at: u64,
-    /// None: the connection closed, or was given up, with no whole answer.
+    /// The status; `None` if the connection closed or the client gave up before a complete response.
     pub status: Option<u16>,
-    /// The unit's seal.
+    /// The unit's seal on its response.
     pub seal: Option<String>,
     /// The body.
     pub body: Vec<u8>,
-    /// The attempt's id.
+    /// The attempt's id, as the response names it.
     pub id: Option<String>,
     /// `Retry-After`, in seconds.
     pub retry_after: Option<f64>,
-    /// The whole request had been read off the connection, as far as the client can tell: it was written whole.
+    /// Whether the request was written completely.
     pub request_sent: bool,
-    /// The client's own deadline ended it.
+    /// Whether the client's own deadline ended the attempt.
     pub timed_out: bool,
 }
 
-/// What came to a unit.
+/// A request that arrived at a unit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRequest {
-    /// When, in milliseconds.
+    /// Time, in milliseconds.
     pub at: u64,
     /// The unit.
     pub unit: String,
     /// The proxy that sent it.
     pub edge: String,
-    /// The attempt's id.
+    /// The attempt's id, as the response names it.
     pub id: String,
-    /// The method.
+    /// HTTP method.
     pub method: String,
     /// The path.
     pub path: String,
     /// The body.
     pub body: Vec<u8>,
-    /// Whether the unit began to work on it; one that is turned away is not run.
+    /// Whether the unit began to execute it; a rejected request is not executed.
     pub was_executed: bool,
-    /// It was meant for another unit, and turned away as such.
+    /// Whether it named another unit as its target, and was rejected for that.
     pub was_misdirected: bool,
-    /// What the unit answered, if it did.
+    /// Status of the unit's response, if it sent one.
     pub status: Option<u16>,
-    /// It was cold at that moment.
+    /// Whether the unit was cold at that time.
     pub is_cold: bool,
-    /// It broke off, or said something else than an answer.
+    /// Whether the unit broke off, or sent something that is not a valid response.
     pub response_failed: bool,
 }
 
-/// A unit's life.
+/// The lifetime of a unit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointLifetime {
     /// The service.
@@ -90,166 +91,166 @@
     pub version: String,
     /// The zone.
     pub zone: String,
-    /// The region.
+    /// Region.
     pub region: String,
-    /// When it began, in milliseconds.
+    /// Start, in milliseconds.
     pub began: u64,
-    /// When it ended, in milliseconds.
+    /// End, in milliseconds.
     pub ended: Option<u64>,
-    /// When a control node acknowledged that it leaves.
+    /// When a control node acknowledged its drain.
     pub drain_acked: Option<u64>,
-    /// Of the service's configuration: requests a second that it bears while cold.
+    /// Requests a second that it can serve while cold, as the service's configuration says.
     pub cold_capacity: f64,
 }
 
-/// A configuration that an operator sent.
+/// A configuration that the operator sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigChange {
     /// The version.
     pub version: u32,
-    /// The version that it builds on.
+    /// The base version.
     pub base: u32,
-    /// When, in milliseconds.
+    /// Time, in milliseconds.
     pub at: u64,
-    /// When it was acknowledged, in milliseconds.
+    /// When it was acknowledged, in milliseconds, if it was.
     pub acked: Option<u64>,
-    /// Ended by a 4xx.
+    /// The 4xx status that rejected it.
     pub rejected_with: Option<u16>,
-    /// Whether it has to be taken, its base given.
+    /// Whether it must be accepted, provided that its base is current.
     pub valid: bool,
-    /// Route name to path prefix and the services it may go to.
+    /// Routes by name.
     pub routes: BTreeMap<String, Route>,
     /// The body.
     pub body: Vec<u8>,
-    /// When a clear answer came.
+    /// When a final response came.
     pub ended: Option<u64>,
-    /// Sent again after its acknowledgement: when, when it was answered, and how.
+    /// Repeats after the acknowledgement: when sent, when responded to, and the status.
     pub repeats: Vec<(u64, u64, u16)>,
 }
 
 /// A route of a configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The beginning of its paths.
+    /// Path prefix.
     pub prefix: String,
-    /// The services that it goes to.
+    /// Target services.
     pub services: Vec<String>,
-    /// Its home regions.
+    /// Home regions; empty if any region may serve it.
     pub homes: Vec<String>,
 }
 
-/// An order on a zone, or a rollout.
+/// An operation on a zone, or a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operation {
-    /// What it is.
+    /// What it asks for.
     pub what: OperationKind,
-    /// When, in milliseconds.
+    /// Time, in milliseconds.
     pub at: u64,
-    /// When it was acknowledged, in milliseconds.
+    /// When it was acknowledged, in milliseconds, if it was.
     pub acked: Option<u64>,
-    /// When a clear answer came, or the operator gave it up.
+    /// When a final response came, or the operator gave up.
     pub ended: Option<u64>,
 }
 
-/// What an operation asks for.
+/// What an operation asks for. The Debug text appears in violations of `Acks`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperationKind {
-    /// A zone is evacuated, or taken back.
+    /// Begins or ends the evacuation of a zone.
     Evacuate {
         /// The zone.
         zone: String,
-        /// Whether it begins.
+        /// Whether the evacuation begins.
         begin: bool,
     },
-    /// A version is rolled out.
+    /// Rolls out a new version.
     Rollout {
         /// The service.
         service: String,
         /// The version.
         target: String,
-        /// Whether it has to be rolled back.
+        /// Whether the version is faulty, so that it must be reverted.
         bad: bool,
-        /// When it ends, in milliseconds.
+        /// End, in milliseconds.
         until: u64,
     },
 }
 
-/// Trouble on a machine, on the core (`core`), or everywhere (`*`), from one time to another.
+/// A fault on a machine, on the core (`core`) or everywhere (`*`), with its time span.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InjectedFault {
     /// The machine.
     pub on: String,
-    /// When it began, in milliseconds.
+    /// Start, in milliseconds.
     pub from: u64,
-    /// When it ends, in milliseconds.
+    /// End, in milliseconds.
     pub until: u64,
-    /// What it is, in words.
+    /// Description.
     pub description: String,
-    /// A SIGTERM or a start that the platform planned: no excuse for a request that is lost.
+    /// Whether it is a planned SIGTERM or start, which does not excuse a lost request.
     pub planned: bool,
 }
 
-/// A program that panicked, or ended by itself.
+/// A program that panicked or exited unexpectedly.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProcessFailure {
-    /// When, in milliseconds.
+    /// Time, in milliseconds.
     pub at: u64,
     /// The machine.
     pub on: String,
-    /// What it is, in words.
+    /// Description.
     pub description: String,
 }
 
-/// What a control node was asked by a unit, an operator or a client, and what it answered.
+/// A call of a unit, operator or client to a control node, with its outcome.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlExchange {
     /// The control node.
     pub control_node: String,
-    /// When, in milliseconds.
+    /// Time, in milliseconds.
     pub at: u64,
-    /// When it ends, in milliseconds.
+    /// End, in milliseconds.
     pub until: u64,
-    /// Method and path; a heartbeat that tells of a drain ends in ` draining`.
+    /// Method and path; a heartbeat that announces a drain ends in ` draining`.
     pub request: String,
-    /// None: no whole answer in time.
+    /// The status; `None` without a complete response in time.
     pub status: Option<u16>,
 }
 
-/// All that crossed the network, as units, clients and operators saw it.
+/// Everything that crossed the network, as units, clients and the operator saw it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct History {
     /// Attempts by id.
     pub attempts: BTreeMap<String, ClientAttempt>,
-    /// Requests that came to units, in their order.
+    /// Requests that arrived at units, in order.
     pub endpoint_requests: Vec<EndpointRequest>,
     /// Units by id.
     pub units: BTreeMap<String, EndpointLifetime>,
-    /// Configurations that were sent, in their order.
+    /// Configurations that were sent, in order.
     pub configs: Vec<ConfigChange>,
-    /// Operations that were sent, in their order.
+    /// Operations that were sent, in order.
     pub operations: Vec<Operation>,
     /// Faults that were injected.
     pub injected_faults: Vec<InjectedFault>,
-    /// Programs that panicked or ended by themselves.
+    /// Programs that panicked or exited unexpectedly.
     pub process_failures: Vec<ProcessFailure>,
-    /// SIGTERM of an edge machine, and when its process was gone.
+    /// Shutdowns of edge machines: name, time of SIGTERM, time when the process was gone.
     pub proxy_shutdowns: Vec<(String, u64, u64)>,
-    /// The configuration as read back at the end, if it came; and states of rollouts.
+    /// The configuration as read back at the end, if that succeeded.
     pub read_back: Option<Vec<u8>>,
-    /// When it was asked for.
+    /// When it was read back.
     pub read_at: u64,
     /// The state of the last rollout of each service, as read back.
     pub rollouts: BTreeMap<String, String>,
-    /// Datagrams were lost, or disks failed, by chance: no time counts as settled.
+    /// Whether datagrams were lost or disks failed at random throughout: then acknowledgement times are not checked.
     pub has_random_faults: bool,
-    /// The day's end, in ms.
+    /// End of the run, in milliseconds.
     pub end: u64,
-    /// After a closing fault: when the machines were back.
+    /// After a final fault: when the machines had restarted.
     pub closing: Option<u64>,
-    /// Successes on connections where no request was waiting.
+    /// Responses on connections without a request in flight.
     pub unsolicited_responses: u64,
-    /// What it is, in words.
+    /// Description.
     pub control_exchanges: Vec<ControlExchange>,
-    /// Edge machine, start of its process, when it first said that it is ready: if the scenario asks for it.
+    /// Readiness of edge machines, if measured: name, process start, first time ready.
     pub ready: Vec<(String, u64, u64)>,
 }
--- a/crates/beechcroft-simulator/src/cluster/mod.rs
+++ b/crates/beechcroft-simulator/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! The whole system in a world: the programs as they run, on simulated machines, under an checker.
+//! Simulation of the whole cluster: the real programs run on simulated machines, and a checker verifies the history.
 
 pub mod checker;
 pub mod client;
--- a/crates/beechcroft-simulator/src/cluster/network.rs
+++ b/crates/beechcroft-simulator/src/cluster/network.rs
@@ -1,5 +1,5 @@
-//! Machines and what lies between them: connections and datagrams that take their time, get lost, held up or cut.
-//! Times are those of the runtime's paused clock, whole milliseconds. What happens is numbered, so that a fault can
+//! The simulated network: hosts, connections and datagrams, with latency, loss and partitions. Times are those of the
+//! runtime's paused clock, in whole milliseconds. Datagrams are numbered, so that a scenario can lose the k-th one.
 //! be put at the k-th datagram or connection.
 
 use beechcroft_transport::runtime::{Accepted, Datagram, SimulatedStream, Simulation};
@@ -18,62 +18,62 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Bytes that may be under way on a connection in one direction.
+/// Bytes that may be in flight on a connection in one direction.
 const WINDOW: usize = 256 << 10;
-/// How long what a cut holds up waits before it is tried again.
+/// Interval at which traffic that a partition holds back is tried again, in milliseconds.
 const HELD_MS: u64 = 40;
-/// The time of day at the world's beginning, in seconds since 1970.
+/// Wall-clock time at the start of the simulation, in seconds since 1970.
 const WALL_S: u64 = 1_800_000_000;
 
-/// Where a machine stands.
+/// A host on the network.
 #[derive(Clone, Debug, Default)]
 pub struct Host {
-    /// Its name.
+    /// The name, as reports print it.
     pub name: String,
-    /// Its region.
+    /// Region of the zone.
     pub region: String,
     /// Its zone.
     pub zone: String,
-    /// Without power, or behind nothing: it hears and says nothing.
+    /// Whether it has no power: it neither sends nor receives.
     pub is_powered_off: bool,
-    /// Its clock's error.
+    /// Error of its wall clock, in milliseconds.
     pub skew_ms: i64,
-    /// Until when its processes do nothing.
+    /// Until when its processes are suspended.
     pub frozen_until: Option<Instant>,
-    /// Tasks to wake once it is no longer frozen.
+    /// Tasks to wake when it is no longer frozen.
     pub wakers: Vec<Waker>,
 }
 
-/// What is seen of a cut by those whom it parts.
+/// How a partition shows to the hosts on both sides.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PartitionKind {
-    /// Nothing: bytes under way come later, new connections wait, datagrams are lost.
+    /// No error: bytes in flight are delayed, new connections wait, datagrams are lost.
     #[default]
     Silent,
-    /// Connections are reset when it begins, and new ones as they come up.
+    /// Connections are reset when it begins, and new ones when they are attempted.
     Reset,
-    /// New connections are refused at once; what is under way on others comes later.
+    /// New connections are refused at once; bytes in flight on existing ones are delayed.
     Refused,
 }
 
-/// Who is cut off from whom: machines whose name begins so, or whose zone or region it is.
+/// A partition between two sets of hosts, each selected by name prefix, zone or region.
 #[derive(Clone, Debug)]
 pub struct Cut {
-    /// The machines on the one side.
+    /// Hosts on one side.
     pub from: String,
-    /// The machines on the other side.
+    /// Hosts on the other side.
     pub to: String,
-    /// When it ends.
+    /// End of the partition.
     pub until: Instant,
-    /// Only what goes from the one to the other is lost.
+    /// Whether only traffic from `from` to `to` is affected.
     pub one_way: bool,
-    /// What those whom it parts see of it.
+    /// How the partition shows to both sides.
     pub how: PartitionKind,
 }
 
 impl Host {
-    /// Whether it is meant by a name, a zone, a region or `*`.
+    /// Whether a name prefix, a zone, a region or `*` selects the host.
     pub fn is(&self, named: &str) -> bool {
         named == "*" || self.region == named || self.zone == named || self.name.starts_with(named)
     }
@@ -111,43 +111,43 @@
 struct HalfConnection {
     from: Ipv4Addr,
     to: Ipv4Addr,
-    /// What is under way; none: the end.
+    /// Bytes in flight with their arrival times; `None` is the end of the stream.
     flight: VecDeque<(Instant, Option<Vec<u8>>)>,
     under_way: usize,
     ready: VecDeque<u8>,
     ended: bool,
-    /// The reader has gone: what is written breaks.
+    /// The reader is gone: writes fail with a broken pipe.
     deaf: bool,
-    /// Reset by a cut.
+    /// Reset by a partition.
     broken: bool,
-    /// Its reader lost power: once the machine is back, what comes is answered by a reset.
+    /// Its reader lost power: once that host is back, it responds to further bytes with a reset.
     orphan: bool,
-    /// The lane of the other direction.
+    /// Id of the opposite direction.
     other: u64,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
 
-/// What went over the network.
+/// Counters of network traffic and disk syncs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
-    /// Datagrams that were sent.
+    /// Datagrams sent.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Bytes of datagrams.
     pub datagram_bytes: u64,
-    /// Connections that were opened.
+    /// Connections opened.
     pub connections: u64,
-    /// Bytes on connections.
+    /// Bytes sent on connections.
     pub bytes: u64,
-    /// Bytes between regions.
+    /// Bytes sent on connections between regions.
     pub far_bytes: u64,
-    /// Syncs of all disks.
+    /// Syncs over all disks.
     pub syncs: u64,
 }
 
-/// The state of the network.
+/// State of the network.
 pub struct Inner {
-    /// Machines by address.
+    /// Hosts by address.
     pub hosts: BTreeMap<Ipv4Addr, Host>,
     began: Instant,
     heap: BinaryHeap<Reverse<Entry>>,
@@ -157,29 +157,29 @@
     half_connections: BTreeMap<u64, HalfConnection>,
     /// Partitions that have not ended.
     pub cuts: Vec<Cut>,
-    /// Of datagrams, and those of them that come twice.
+    /// Share of datagrams that are lost.
     pub loss: f64,
-    /// Part of datagrams that come twice.
+    /// Share of datagrams that are delivered twice.
     pub duplication: f64,
-    /// One way within a region, in milliseconds.
+    /// One-way latency within a region, in milliseconds.
     pub zone_ms: u64,
-    /// One way between regions, in milliseconds.
+    /// One-way latency between regions, in milliseconds.
     pub region_ms: u64,
-    /// Numbers of datagrams that are lost.
+    /// Sequence numbers of datagrams that are lost.
     pub lost_datagrams: Vec<u64>,
-    /// What was sent so far.
+    /// Counters so far.
     pub counts: Counts,
-    /// Bytes of datagrams and connections by sender.
+    /// Bytes of datagrams and connections by sending host.
     pub sent_by: BTreeMap<Ipv4Addr, u64>,
     rng: Pcg64Mcg,
 }
 
-/// The network, shared by all that stands on it.
+/// A handle to the network, shared by all hosts.
 #[derive(Clone)]
 pub struct Network(Arc<Mutex<Inner>>, Arc<Notify>);
 
 impl Network {
-    /// A network without any machine.
+    /// Creates a network without hosts.
     pub fn new(seed: u64, zone_ms: u64, region_ms: u64) -> Network {
         let inner = Inner {
             hosts: BTreeMap::new(),
@@ -202,12 +202,12 @@
         Network(Arc::new(Mutex::new(inner)), Arc::new(Notify::new()))
     }
 
-    /// The state; not to be held across an await.
+    /// Locks the state; the guard must not be held across an await.
     pub fn state(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().expect("one thread")
     }
 
-    /// Delivers what is due, for as long as the world lasts.
+    /// Delivers what is due until the simulation ends.
     pub async fn run(self) {
         loop {
             let next = self.state().deliver();
@@ -224,7 +224,7 @@
         }
     }
 
-    /// A process on a machine.
+    /// The network as a process on that host uses it.
     pub fn host_network(&self, ip: Ipv4Addr) -> HostNetwork {
         HostNetwork {
             network: self.clone(),
@@ -232,14 +232,14 @@
         }
     }
 
-    /// A process has ended: nobody listens there any more.
+    /// Removes the listeners and sockets of a host whose process has ended.
     pub fn remove_process(&self, ip: Ipv4Addr) {
         let mut inner = self.state();
         inner.listeners.retain(|at, _| *at.ip() != ip);
         inner.mail.retain(|at, _| *at.ip() != ip);
     }
 
-    /// One process of several on a machine has ended.
+    /// Removes one listener, where other processes on the host continue.
     pub fn remove_listener(&self, at: SocketAddrV4) {
         self.state().listeners.remove(&at);
     }
@@ -251,12 +251,12 @@
         self.heap.push(Reverse(Entry(at, self.next, due)));
     }
 
-    /// Whether what goes from the one to the other is lost now.
+    /// Whether traffic from one host to another is cut at present.
     pub fn is_cut(&self, from: Ipv4Addr, to: Ipv4Addr) -> bool {
         self.cut(from, to).is_some()
     }
 
-    /// How one is cut off from another, if it is.
+    /// The kind of the partition that cuts one host off from another, if any.
     fn cut(&self, from: Ipv4Addr, to: Ipv4Addr) -> Option<PartitionKind> {
         let (Some(a), Some(b)) = (self.hosts.get(&from), self.hosts.get(&to)) else {
             return Some(PartitionKind::Silent);
@@ -274,7 +274,7 @@
             .map(|cut| cut.how)
     }
 
-    /// A cut begins.
+    /// Begins a partition.
     pub fn begin(&mut self, cut: Cut) {
         let resets = cut.how == PartitionKind::Reset;
         self.cuts.push(cut);
@@ -400,7 +400,7 @@
     }
 }
 
-/// One end of a connection: reads off one lane, writes on the other.
+/// One end of a connection: reads from one direction and writes to the other.
 struct End {
     network: Network,
     input: u64,
--- a/crates/beechcroft-simulator/src/cluster/run.rs
+++ b/crates/beechcroft-simulator/src/cluster/run.rs
@@ -1,5 +1,5 @@
-//! A day: the programs as they are on machines of the world, with units, clients and an operator round them, and
-//! what the scenario plans and lets go wrong. One seed, one run.
+//! A simulation run: the real programs on simulated machines, with units, clients and an operator, and the operations
+//! and faults of the scenario. The same scenario and seed give the same run.
 
 mod events;
 mod faults;
@@ -41,37 +41,37 @@
 use tokio::time::{sleep, Instant};
 
 const INSIDE: [u16; 2] = [7540, 7555];
-/// From the start of the machines to that of traffic.
+/// Time from the start of the machines to the start of traffic, in seconds.
 const BEFORE_S: f64 = 8.0;
 const GRACE_S: f64 = 6.0;
 const COLD_MS: u64 = 3000;
-/// From a unit's word that it will be cold until it is.
+/// Time from a unit's announcement that it will be cold until it is, in milliseconds.
 const COLD_TOLD_MS: u64 = 800;
-/// Rules that bind from some moment on have this long to do so after the last event.
+/// How long the operator repeats an operation, and how long pending ones are waited for at the end, in milliseconds.
 const ACK_MS: u64 = 6000;
 
-/// What was seen of a day.
+/// The report of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
     /// The scenario's name.
     pub name: String,
-    /// What the checker found.
+    /// Result of the checker.
     pub verdict: Verdict,
-    /// What was sent over the network.
+    /// Network counters.
     pub counts: Counts,
-    /// Bytes that each machine sent: the mean and the most of edge machines, a second.
+    /// Bytes a second that edge machines sent: mean and maximum.
     pub edge_bytes: (f64, f64),
-    /// For each acknowledged configuration that added a route: ms from then until the last edge machine went by it.
+    /// For each acknowledged configuration that added a route: milliseconds until the last edge machine applied it.
     pub config_spread_ms: Vec<u64>,
-    /// If the scenario asks: when a core machine first said that it holds which membership, or none.
+    /// Changes of the quorum membership that core machines report, if recorded.
     pub memberships: Vec<membership_watch::Held>,
-    /// Core machines that were told to leave: when, and when their processes ended.
+    /// Shutdowns of core machines: name, time of SIGTERM, time when the process was gone.
     pub core_shutdowns: Vec<(String, u64, u64)>,
     /// Simulated time, in seconds.
     pub simulated_s: f64,
-    /// Orders that were never acknowledged.
+    /// Operations that were never acknowledged.
     pub unacknowledged: Vec<String>,
-    /// All that the checker knows.
+    /// The recorded history.
     pub history: history::History,
 }
 
@@ -84,12 +84,12 @@
     disk: Option<MachineDisk>,
     process: RefCell<Option<Process>>,
     term: RefCell<Option<Arc<Notify>>>,
-    /// Its process was told to leave.
+    /// Whether its process got SIGTERM.
     told: Rc<Cell<bool>>,
-    /// Until when some event keeps it down, in ms.
+    /// Until when an event keeps it down, in milliseconds.
     down_until: Cell<u64>,
     gone: Cell<bool>,
-    /// Tells its process of other seeds.
+    /// Sends changed seed nodes to its process.
     reseed: RefCell<Option<mpsc::UnboundedSender<Vec<SocketAddrV4>>>>,
 }
 
@@ -103,22 +103,22 @@
     world: Rc<World>,
     machines: RefCell<Vec<Rc<Machine>>>,
     units: RefCell<Vec<Rc<RunningEndpoint>>>,
-    /// Versions that units of each service run, with what ails them.
+    /// Version that the units of each service run.
     versions: RefCell<BTreeMap<String, String>>,
     clients: Vec<Rc<Clients>>,
     book: RefCell<OperatorLog>,
     syncs: Rc<RefCell<BTreeMap<u64, SyncFailure>>>,
     times: Cell<f64>,
     next_ip: Cell<u32>,
-    /// What operators still wait for.
+    /// Operations in flight.
     orders: Cell<usize>,
-    /// The core machine that acknowledged last.
+    /// The core machine that acknowledged an operation last.
     leader: RefCell<Option<Ipv4Addr>>,
-    /// Part of the operators' answers that are lost on their way.
+    /// Share of responses to the operator that are lost.
     answers_lost: Cell<f64>,
-    /// Traffic has ended, and with it what is planned.
+    /// Whether traffic has ended, and with it the planned operations.
     over: Cell<bool>,
-    /// Seeds of settings files, once they were changed.
+    /// Seed nodes in the settings, once they were changed.
     seeds: RefCell<Option<Vec<SocketAddrV4>>>,
     unacknowledged: RefCell<Vec<String>>,
     config_spread_ms: RefCell<Vec<u64>>,
@@ -127,12 +127,12 @@
     down_for_good: Cell<bool>,
 }
 
-/// Plays a scenario to its end.
+/// Runs a scenario to its end.
 pub fn simulate(scenario: &Scenario) -> Report {
     in_world(scenario, run)
 }
 
-/// Plays on a clock of its own, which stands still while anything can go on, with the scenario's guard taken out.
+/// Runs a future on a paused clock, which advances only when every task waits, with the scenario's safeguard disabled.
 fn in_world<T, F>(scenario: &Scenario, simulate: impl FnOnce(Scenario) -> F) -> T
 where
     F: std::future::Future<Output = T>,
@@ -155,7 +155,7 @@
     stand(scenario).traffic().await
 }
 
-/// Machines and units, started.
+/// Starts machines and units.
 fn stand(scenario: Scenario) -> Rc<ClusterRun> {
     process::record_panics();
     let network = Network::new(scenario.seed, scenario.zone_ms, scenario.region_ms);
@@ -216,7 +216,7 @@
     day
 }
 
-/// Asks an edge machine, from beside it, until it says that it is ready.
+/// Polls an edge machine from its own host until it is ready, and records how long that took.
 async fn ready(world: Rc<World>, machine: Rc<Machine>) {
     let runtime = Runtime::simulated(Rc::new(world.network.host_network(machine.ip)));
     let (at, within) = (
@@ -283,7 +283,7 @@
 
     fn machine(&self, at: usize, core: bool) -> Rc<Machine> {
         let (region, zone) = (at % self.scenario.regions, at / self.scenario.regions % 2);
-        // Core machines stand one to a zone, the first ones in different regions.
+        // Machines are spread over regions first, then over zones.
         let nth = self.next_ip.get();
         self.next_ip.set(nth + 1);
         let ip = Ipv4Addr::new(
@@ -387,9 +387,9 @@
         Settings::read(&text).expect("the world's own settings")
     }
 
-    /// Starts a machine's process. `bootstrap`: the first start of the whole system.
+    /// Starts a machine's process. `bootstrap` is set at the first start of the cluster.
     fn start(&self, machine: &Rc<Machine>, bootstrap: bool) {
-        // The port is taken while a process runs: a second start would end at once, and leave the first one as it is.
+        // A second process would exit at once, as the port is in use, and leave the first one running.
         let runs = machine
             .process
             .borrow()
@@ -487,7 +487,7 @@
         }
     }
 
-    /// Machines by name, zone or region; `leader`: the core machine that acknowledged last, `reader`: the one whose
+    /// Machines by name prefix, zone or region; `leader` is the core machine that acknowledged last, `reader` the one whose
     /// directory was read last.
     fn named(&self, on: &str) -> Vec<Rc<Machine>> {
         let on = &self.who(on);
@@ -625,7 +625,7 @@
         }
     }
 
-    /// Units of a service that run, in the order of their starts.
+    /// Running units of a service that do not drain, in the order of their starts.
     fn running(&self, service: &str) -> Vec<Rc<RunningEndpoint>> {
         let runs = |s: &&Rc<RunningEndpoint>| {
             s.process.borrow().is_some() && s.unit.service == service && !s.unit.draining.get()
@@ -678,7 +678,7 @@
         let end = Duration::from_secs_f64(self.scenario.seconds);
         tokio::time::sleep_until(start + end).await;
         self.over.set(true);
-        // What is under way ends; orders are waited for.
+        // Lets requests in flight end, and waits for pending operations.
         let patience = self.now() + ACK_MS + 3000;
         while self.orders.get() > 0 && self.now() < patience {
             sleep(Duration::from_millis(100)).await;
@@ -688,7 +688,7 @@
         self.report()
     }
 
-    /// Requests of one kind, at random times.
+    /// Sends requests of one kind as a Poisson process.
     async fn source(self: Rc<Self>, kind: RequestKind, part: f64, start: Instant) {
         let seconds = self.scenario.seconds;
         while start.elapsed().as_secs_f64() < seconds {
@@ -703,8 +703,8 @@
         }
     }
 
-    /// Requests on routes that were just added or dropped, or that never were: they earn nothing, and show which
-    /// configuration a proxy goes by.
+    /// Probes routes that were added, removed or never existed. Probes show which configuration a proxy applies; they do not
+    /// count as served requests.
     async fn probes(self: Rc<Self>, start: Instant) {
         let mut nth = 0;
         while start.elapsed().as_secs_f64() < self.scenario.seconds {
--- a/crates/beechcroft-simulator/src/cluster/run/machine_events.rs
+++ b/crates/beechcroft-simulator/src/cluster/run/machine_events.rs
@@ -9,7 +9,7 @@
         disks.for_each(|disk| disk.damage(record));
     }
 
-    /// Processes do nothing for a while.
+    /// Suspends processes for some time.
     pub(super) fn freeze(&self, on: &str, for_s: f64) {
         let (now, until) = (self.now(), Instant::now() + Duration::from_secs_f64(for_s));
         for machine in self.named(on) {
--- a/crates/beechcroft-simulator/src/cluster/run/operator_events.rs
+++ b/crates/beechcroft-simulator/src/cluster/run/operator_events.rs
@@ -45,7 +45,7 @@
         tokio::join!(first, self.clone().replace(two, other, Aim::From(nth + 1)));
     }
 
-    /// A configuration that has to be refused.
+    /// A configuration that must be rejected.
     pub(super) async fn invalid_config(self: Rc<Self>, nth: usize) {
         let (mut sent, held) = self.config(1, false, false);
         let text = String::from_utf8_lossy(&sent.body)
--- a/crates/beechcroft-simulator/src/cluster/run/unit_events.rs
+++ b/crates/beechcroft-simulator/src/cluster/run/unit_events.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Units turn cold.
+    /// Units become cold again and warm up anew.
     pub(super) async fn cool_units(&self, service: &str, count: usize) {
         // Told by a heartbeat at once; cold once that may have gone round.
         let units: Vec<_> = self.running(service).into_iter().take(count).collect();
--- a/crates/beechcroft-simulator/src/cluster/scenario.rs
+++ b/crates/beechcroft-simulator/src/cluster/scenario.rs
@@ -1,5 +1,6 @@
-//! A day of the world's own, as a file says it: what stands there, what is planned, what goes wrong. Read with its
-//! checks; a fault is named by key and line.
+//! Simulation scenarios as read from a TOML file: the topology, the planned operations and the injected faults.
+//! Validation errors name the key and the line. Rust fields that garde validates keep the names of their keys, as its
+//! messages print them.
 
 use super::disk::SyncFailure;
 use super::network::PartitionKind;
@@ -7,113 +8,113 @@
 use garde::Validate;
 use serde::{Deserialize, Serialize};
 
-/// What is played.
+/// A simulation run: topology, load, events and the faults that hold throughout.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 #[garde(allow_unvalidated)]
 pub struct Scenario {
-    /// Its name.
+    /// The name, as reports print it.
     #[garde(length(min = 1))]
     pub name: String,
-    /// What goes wrong, in a sentence.
+    /// One sentence on what the scenario tests.
     #[serde(default, rename = "about")]
     pub description: String,
-    /// The seed of all random numbers.
+    /// The seed of every random number generator.
     #[serde(default = "one")]
     pub seed: u64,
-    /// Regions.
+    /// Number of regions, each of two zones.
     #[serde(default = "three")]
     #[garde(range(min = 1, max = 6))]
     pub regions: usize,
-    /// Machines that run a proxy.
+    /// Number of machines that run a proxy.
     #[serde(default = "nine")]
     #[garde(range(min = 1, max = 1000))]
     pub edges: usize,
-    /// Machines that run a control node.
+    /// Number of machines that run a control node.
     #[serde(default = "three")]
     #[garde(range(min = 1, max = 9))]
     pub cores: usize,
-    /// Of each service.
+    /// Number of units of each service.
     #[serde(default = "nine")]
     #[garde(range(min = 1, max = 500))]
     pub units: usize,
-    /// Requests that a unit executes at once.
+    /// Requests that a unit executes concurrently.
     #[serde(default = "four")]
     #[garde(range(min = 1, max = 64))]
     pub slots: usize,
-    /// Requests a second: look-ups; a third as many writes, a sixth downloads.
+    /// Lookups a second over all clients; a third as many writes and a sixth as many downloads come on top.
     #[serde(default = "rate")]
     #[garde(range(min = 0.0, max = 100_000.0))]
     pub rate: f64,
-    /// From the start of traffic, which comes 8 s after that of the machines.
+    /// Seconds of traffic, which starts 8 s after the machines.
     #[serde(default = "seconds")]
     #[garde(range(min = 1.0, max = 3600.0))]
     pub seconds: f64,
-    /// One way within a region, in milliseconds.
+    /// One-way latency within a region, in milliseconds.
     #[serde(default = "zone_ms")]
     pub zone_ms: u64,
-    /// One way between regions, in milliseconds.
+    /// One-way latency between regions, in milliseconds.
     #[serde(default = "region_ms")]
     pub region_ms: u64,
-    /// How long a sync takes, in milliseconds.
+    /// Duration of a disk sync, in milliseconds.
     #[serde(default = "zone_ms")]
     pub sync_ms: u64,
-    /// When power goes, of the records that were being written any first part may be found there, not batches alone.
+    /// Whether a power loss may leave any prefix of the records being written, rather than whole batches only.
     #[serde(default, rename = "torn")]
     pub torn_writes: bool,
-    /// Of datagrams.
+    /// Share of datagrams that are lost.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 0.9))]
     pub loss: f64,
-    /// Part of datagrams that come twice.
+    /// Share of datagrams that are delivered twice.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 0.9))]
     pub twice: f64,
-    /// Flags of the programs.
+    /// The programs' default of `usualPlaces`: endpoints per key and region; 0 turns key affinity off.
     #[serde(default, rename = "places")]
     pub usual_places: usize,
-    /// Whether services get outlier rules by default.
+    /// Whether services get outlier detection by default.
     #[serde(default, rename = "verdicts")]
     pub outlier_detection: bool,
-    /// Each edge machine is asked until it goes by a new configuration, to see how long that takes.
+    /// Whether to measure how long each proxy takes to apply a new configuration, by polling it.
     #[serde(default, rename = "spread")]
     pub measure_config_spread: bool,
-    /// Each core machine is asked which membership it holds, to see when one changes hands.
+    /// Whether to record which quorum membership each control node holds, by polling it.
     #[serde(default, rename = "memberships")]
     pub record_memberships: bool,
-    /// Each edge machine is asked from its start on until it is ready, to see how long that takes.
+    /// Whether to measure how long each proxy takes from its start until it is ready, by polling it.
     #[serde(default, rename = "starts")]
     pub measure_readiness: bool,
-    /// By number: datagrams that are lost, syncs that do something else.
+    /// Datagrams that are lost, by their sequence number.
     #[serde(default, rename = "lost_letters")]
     pub lost_datagrams: Vec<u64>,
-    /// Syncs that fail, by number.
+    /// Disk syncs that fail, by their sequence number.
     #[serde(default, rename = "syncs")]
     pub sync_faults: Vec<InjectedSyncFault>,
-    /// What happens.
+    /// Operations and faults, each at its time.
     #[serde(default)]
     #[garde(dive)]
     pub event: Vec<Event>,
-    /// Of the system's parts, one that is broken: the checker must find it.
+    /// A deliberately broken part of the system, which the checker must find.
     #[serde(default)]
     pub mutant: Option<Mutant>,
-    /// Of the control side's guards, one that is taken out of the programs' own text: tests must find it missing.
+    /// A safeguard that is disabled in the programs; tests check that its absence is found.
     #[serde(default, rename = "without")]
     pub disabled_safeguard: Option<beechcroft_safeguards::Safeguard>,
 }
 
-/// What one sync does instead of its work.
+/// A disk sync that fails.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct InjectedSyncFault {
-    /// Its number, from 1, over all disks.
+    /// Its sequence number, from 1, over all disks.
     pub number: u64,
-    /// What it does.
+    /// How it fails.
     #[serde(rename = "does")]
     pub failure: SyncFailure,
 }
 
-/// What happens at one time.
+/// An operation or a fault at a point in time.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
@@ -121,513 +122,513 @@
     /// Seconds from the start of traffic.
     #[garde(range(min = 0.0, max = 3600.0))]
     pub at: f64,
-    /// What happens.
+    /// Operations and faults, each at its time.
     #[serde(rename = "what")]
     pub kind: EventKind,
 }
 
-/// What meets a machine in trouble, and as it returns.
+/// Operations that run during a core machine's fault and as it recovers.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum ConcurrentChange {
-    /// A change of the configuration is sent to that machine first, during its trouble and as it returns.
+    /// A configuration change is sent to that machine first, once during its fault and once as it recovers.
     #[serde(rename = "change")]
     SingleChange,
-    /// Two of them at once each time, the other one to another machine.
+    /// Two conflicting changes each time, the second one sent to another machine.
     #[serde(rename = "race")]
     ConflictingChanges,
-    /// A change is sent to it alone, again and again until it answers.
+    /// A change is sent to that machine only, and repeated until it responds.
     #[serde(rename = "hard")]
     PersistentChange,
-    /// Units of its zone leave soon after it is back.
+    /// Units of its zone drain soon after it has recovered.
     Drain,
 }
 
-/// What a configuration changes besides its routes.
+/// The setting that a configuration change modifies.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// A route goes to another service.
+    /// A route's target service.
     #[default]
     Route,
-    /// A route is split between two services, by other weights each time.
+    /// The weights of a route that is split between two services.
     Weights,
-    /// The routes' time-outs.
+    /// The routes' timeouts.
     Timeout,
-    /// The time after which idle connections are closed.
+    /// The idle timeout of connections.
     Idle,
 }
 
-/// The moment right after which a strike comes.
+/// What triggers a [`EventKind::TriggeredFault`].
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultTrigger {
-    /// A change was acknowledged.
+    /// A configuration change was acknowledged.
     #[default]
     #[serde(rename = "acked")]
     ConfigAcknowledged,
-    /// A change was sent, acknowledged or not.
+    /// A configuration change was sent, acknowledged or not.
     #[serde(rename = "sent")]
     ConfigSent,
-    /// A client's write was answered with success.
+    /// A client's write succeeded.
     #[serde(rename = "taken")]
     WriteSucceeded,
-    /// An evacuation was acknowledged; it is taken back 8 s after the machines return.
+    /// An evacuation was acknowledged; it is reverted 8 s after the machines return.
     #[serde(rename = "evacuated")]
     EvacuationAcknowledged,
-    /// A unit's word that it leaves was acknowledged.
+    /// A unit's drain was acknowledged.
     #[serde(rename = "drained")]
     DrainAcknowledged,
 }
 
-/// What is planned, and what goes wrong. `on`: machines whose name begins so, a zone or a region; `leader`: the core
-/// machine that acknowledged last; `reader`: the one whose directory was read last.
+/// A planned operation or an injected fault. `on` selects machines by name prefix, zone or region; `leader` is the core
+/// machine that acknowledged last, `reader` the one whose directory was read last.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum EventKind {
-    /// A configuration with so many routes more; `drop`: and without one that was added before.
+    /// Replaces the configuration by one with added routes.
     Config {
-        /// Routes that are added.
+        /// Number of routes to add.
         #[serde(default)]
         routes: usize,
-        /// Whether one that was added before is left out.
+        /// Whether to remove a route that was added before.
         #[serde(default)]
         drop: bool,
     },
-    /// One that changes something else than routes' prefixes.
+    /// Replaces the configuration by one that changes a setting other than route prefixes.
     #[serde(rename = "alter")]
     ChangeSettings {
-        /// What it changes.
+        /// The setting that changes.
         change: Change,
     },
-    /// Trouble of a core machine, and what it is sent meanwhile and as it returns.
+    /// A fault of a core machine, with operations during it and as the machine recovers.
     #[serde(rename = "met")]
     FaultWithChanges {
-        /// What meets the machine.
+        /// The concurrent operations.
         #[serde(rename = "by")]
         concurrent_change: ConcurrentChange,
-        /// What happens.
+        /// Operations and faults, each at its time.
         #[serde(rename = "what")]
         fault: Box<EventKind>,
     },
-    /// Two of them at once on the same version, sent to different control nodes.
+    /// Two configuration changes at once on the same base version, sent to different control nodes.
     #[serde(rename = "race")]
     ConflictingConfigs,
-    /// Two of them at once, different ones under the same number.
+    /// Two different configurations at once under the same version.
     #[serde(rename = "twins")]
     SameVersionTwice,
-    /// A configuration that has to be refused.
+    /// A configuration that must be rejected.
     #[serde(rename = "invalid")]
     InvalidConfig,
-    /// A version is rolled out.
+    /// Rolls out a new version.
     Rollout {
         /// The service.
         service: String,
-        /// Part of requests that fail.
+        /// Share of requests that fail.
         #[serde(default, rename = "fails")]
         failure_rate: f64,
-        /// Times the time that a request should take.
+        /// Factor on the service time.
         #[serde(default, rename = "slow")]
         slowdown: f64,
-        /// The ramp, in seconds.
+        /// Duration of the traffic ramp, in seconds.
         #[serde(default = "ramp")]
         ramp_s: f64,
     },
-    /// A zone is evacuated for a while.
+    /// Evacuates a zone for some time.
     Evacuate {
         /// The zone.
         zone: String,
-        /// How long, in seconds.
+        /// Duration, in seconds.
         for_s: f64,
     },
-    /// Units say that they leave, are acknowledged, and end.
+    /// Units announce that they drain, and end once that is acknowledged.
     #[serde(rename = "drain")]
     DrainUnits {
         /// The service.
         service: String,
-        /// How many.
+        /// Number of them.
         count: usize,
     },
-    /// Units that are new and cold.
+    /// Starts new units, which warm up first.
     #[serde(rename = "add")]
     AddUnits {
         /// The service.
         service: String,
-        /// How many.
+        /// Number of them.
         count: usize,
     },
-    /// Units end without a word; their addresses go to another service's after 2 s if `reuse`.
+    /// Units end without deregistering.
     #[serde(rename = "crash")]
     CrashUnits {
         /// The service.
         service: String,
-        /// How many.
+        /// Number of them.
         count: usize,
-        /// Whether units of another service start at their addresses.
+        /// Whether units of another service start at their addresses 2 s later.
         #[serde(default)]
         reuse: bool,
     },
-    /// Units are ill for a while.
+    /// Units are degraded for some time.
     #[serde(rename = "ill")]
     ImpairUnits {
         /// The service.
         service: String,
-        /// How many.
+        /// Number of them.
         count: usize,
-        /// How long, in seconds.
+        /// Duration, in seconds.
         for_s: f64,
-        /// Part of requests that fail.
+        /// Share of requests that fail.
         #[serde(default, rename = "fails")]
         failure_rate: f64,
-        /// Times the time that a request should take.
+        /// Factor on the service time.
         #[serde(default, rename = "slow")]
         slowdown: f64,
-        /// Part of responses that are lost.
+        /// Share of responses that are lost.
         #[serde(default, rename = "loses")]
         response_loss_rate: f64,
-        /// Part of responses that are not HTTP.
+        /// Share of responses that are not HTTP.
         #[serde(default, rename = "spoils")]
         malformed_response_rate: f64,
-        /// Whether health checks say the opposite.
+        /// Whether health checks report the opposite of the truth.
         #[serde(default, rename = "lies")]
         inverts_health: bool,
     },
-    /// A part of the answers of units is wrong for a while.
+    /// A share of the responses of some units is faulty for some time.
     #[serde(rename = "answers")]
     FaultyResponses {
         /// The service.
         service: String,
-        /// How many.
+        /// Number of them.
         count: usize,
-        /// How long, in seconds.
+        /// Duration, in seconds.
         for_s: f64,
-        /// The part.
+        /// The share.
         part: f64,
-        /// What is wrong.
+        /// The kind of fault.
         #[serde(rename = "wrong")]
         fault: ResponseFault,
     },
-    /// Units lose power without a word, and come back at their addresses under other names.
+    /// Units lose power, and restart at the same addresses under new ids.
     #[serde(rename = "dark")]
     UnitPowerLoss {
         /// The service.
         service: String,
-        /// How many.
+        /// Number of them.
         count: usize,
-        /// How long, in seconds.
+        /// Duration, in seconds.
         for_s: f64,
     },
-    /// Units go down and up by turns.
+    /// Units go down and up repeatedly.
     #[serde(rename = "flap")]
     FlapUnits {
         /// The service.
         service: String,
-        /// How many.
+        /// Number of them.
         count: usize,
-        /// How long, in seconds.
+        /// Duration, in seconds.
         for_s: f64,
-        /// The time between two of them, in seconds.
+        /// Interval, in seconds.
         every_s: f64,
     },
-    /// Units turn cold.
+    /// Units become cold again and warm up anew.
     #[serde(rename = "cold")]
     CoolUnits {
         /// The service.
         service: String,
-        /// How many.
+        /// Number of them.
         count: usize,
     },
-    /// Processes are killed, and started again after a while.
+    /// Kills processes, and restarts them later.
     Kill {
         /// The machines.
         on: String,
-        /// How long they are down, in seconds.
+        /// Downtime, in seconds.
         #[serde(default = "down")]
         down_s: f64,
     },
-    /// SIGTERM; then a new start.
+    /// Sends SIGTERM, then starts the process again.
     #[serde(rename = "term")]
     Restart {
         /// The machines.
         on: String,
     },
-    /// Processes do nothing for a while.
+    /// Suspends processes for some time.
     Freeze {
         /// The machines.
         on: String,
-        /// How long, in seconds.
+        /// Duration, in seconds.
         for_s: f64,
     },
-    /// Machines lose power, and have it again after a while.
+    /// Machines lose power for some time.
     #[serde(rename = "power")]
     PowerLoss {
         /// The machines.
         on: String,
-        /// How long they are down, in seconds.
+        /// Downtime, in seconds.
         #[serde(default = "down")]
         down_s: f64,
     },
-    /// The same, and their disks are lost.
+    /// Machines lose power and the contents of their disks.
     #[serde(rename = "wipe")]
     DiskLoss {
         /// The machines.
         on: String,
-        /// How long they are down, in seconds.
+        /// Downtime, in seconds.
         #[serde(default = "down")]
         down_s: f64,
     },
-    /// Processes are killed, and a record on their disks cannot be read any more as they start again.
+    /// Processes are killed, and a record on their disks is unreadable when they restart.
     #[serde(rename = "damage")]
     DamagedRecord {
         /// The machines.
         on: String,
         /// The record's key.
         record: String,
-        /// How long they are down, in seconds.
+        /// Downtime, in seconds.
         #[serde(default = "down")]
         down_s: f64,
     },
-    /// A core machine is gone for good; an empty one comes at another address.
+    /// Core machines are removed; each is replaced by an empty one at another address.
     #[serde(rename = "replace")]
     ReplaceMachine {
         /// The machines.
         on: String,
     },
-    /// Machines cannot reach each other for a while.
+    /// Machines cannot reach each other for some time.
     #[serde(rename = "cut")]
     Partition {
-        /// The one side.
+        /// One side of the partition.
         from: String,
-        /// The other side; `*`: all others.
+        /// The other side; `*` is everything else.
         to: String,
-        /// How long, in seconds.
+        /// Duration, in seconds.
         for_s: f64,
-        /// Whether only what goes from the one to the other is lost.
+        /// Whether only traffic from `from` to `to` is affected.
         #[serde(default)]
         one_way: bool,
-        /// What those whom it parts see of it.
+        /// How the partition shows to both sides.
         #[serde(default)]
         how: PartitionKind,
     },
-    /// Syncs take longer for a while.
+    /// Disk syncs take longer for some time.
     SlowDisk {
         /// The machines.
         on: String,
-        /// How long a sync takes, in milliseconds.
+        /// Duration of a disk sync, in milliseconds.
         sync_ms: u64,
-        /// How long, in seconds.
+        /// Duration, in seconds.
         for_s: f64,
     },
-    /// Datagrams are lost for a while.
+    /// Datagrams are lost for some time.
     #[serde(rename = "loss")]
     DatagramLoss {
-        /// The part.
+        /// The share.
         part: f64,
-        /// How long, in seconds.
+        /// Duration, in seconds.
         for_s: f64,
     },
-    /// Clocks are wrong from now on.
+    /// Wall clocks are off from now on.
     #[serde(rename = "skew")]
     ClockSkew {
         /// The machines.
         on: String,
-        /// By how much, in milliseconds.
+        /// Clock error, in milliseconds.
         ms: i64,
     },
-    /// So many times the requests for a while.
+    /// A higher request rate for some time.
     Burst {
-        /// Times the usual rate.
+        /// Factor on the request rate.
         times: f64,
-        /// How long, in seconds.
+        /// Duration, in seconds.
         for_s: f64,
     },
-    /// Many changes, one each so many ms. Parts of them: whose answers are lost on their way, that race another one on
-    /// the same version, after which the newest one is sent again.
+    /// Many configuration changes at a fixed interval.
+    /// The shares below apply to the changes.
     #[serde(rename = "storm")]
     ChangeStorm {
-        /// How many.
+        /// Number of them.
         count: usize,
-        /// The time between two of them, in milliseconds.
+        /// Interval, in milliseconds.
         every_ms: u64,
-        /// Part whose responses are lost.
+        /// Share whose responses are lost.
         #[serde(default)]
         lost: f64,
-        /// Part that race another one.
+        /// Share that conflict with another change on the same base version.
         #[serde(default)]
         races: f64,
-        /// Part after which the newest one is sent again.
+        /// Share after which the newest acknowledged change is sent again.
         #[serde(default)]
         again: f64,
     },
-    /// Answers to the operators are lost on their way.
+    /// Responses to the operator are lost.
     #[serde(rename = "unheard")]
     LostOperatorResponses {
-        /// The part.
+        /// The share.
         part: f64,
-        /// How long, in seconds.
+        /// Duration, in seconds.
         for_s: f64,
     },
-    /// The settings name other seeds, the core machines called `first` before the others; so many edge machines are
-    /// killed and started anew.
+    /// Changes the seed nodes in the settings: the core machines that match `first` come first.
+    /// Some proxies are killed and restarted with the new seeds.
     #[serde(rename = "seeds")]
     ChangeSeeds {
-        /// The control nodes that come first.
+        /// The control nodes to list first.
         first: String,
-        /// Proxies that start by the new seeds.
+        /// Number of proxies to restart.
         #[serde(default)]
         restart: usize,
     },
-    /// SIGTERM to one machine after the other; `remove`: a new one starts elsewhere first, and the old one leaves for
-    /// good.
+    /// Sends SIGTERM to one machine after the other.
+    /// With `remove`, a new machine starts elsewhere first, and the old one does not return.
     #[serde(rename = "roll")]
     RollingRestart {
         /// The machines.
         on: String,
-        /// Whether each is replaced for good.
+        /// Whether each machine is replaced by a new one.
         #[serde(default)]
         remove: bool,
-        /// The time between two of them, in seconds.
+        /// Interval, in seconds.
         every_s: f64,
     },
-    /// A share of the machines is killed at once.
+    /// A share of the machines goes down at once.
     #[serde(rename = "herd")]
     MassFailure {
         /// The machines.
         on: String,
-        /// The share of them.
+        /// The share.
         share: f64,
-        /// Whether they lose power; else processes are killed.
+        /// Whether the machines lose power; otherwise their processes are killed.
         #[serde(default)]
         power: bool,
-        /// How long they are down, in seconds.
+        /// Downtime, in seconds.
         #[serde(default = "down")]
         down_s: f64,
     },
-    /// Machines are killed, or lose power, so many ms after something; disks of `wipe` are lost. `closing`: the end of
-    /// the day is judged as after a closing fault.
+    /// Machines go down a fixed time after a trigger.
+    /// With `closing`, the end of the run is checked for recovery as after a final fault.
     #[serde(rename = "strike")]
     TriggeredFault {
         /// The machines.
         on: String,
-        /// After what it comes.
+        /// The trigger.
         #[serde(default)]
         after: FaultTrigger,
-        /// How long after that, in milliseconds.
+        /// Delay after the trigger, in milliseconds.
         #[serde(default)]
         wait_ms: u64,
-        /// Whether they lose power; else processes are killed.
+        /// Whether the machines lose power; otherwise their processes are killed.
         #[serde(default)]
         power: bool,
-        /// Machines that lose their disks.
+        /// Machines whose disk contents are lost.
         #[serde(default)]
         wipe: Option<String>,
-        /// How long they are down, in seconds.
+        /// Downtime, in seconds.
         #[serde(default = "down")]
         down_s: f64,
-        /// Whether the end is judged as after a closing fault.
+        /// Whether the end of the run is checked for recovery.
         #[serde(default)]
         closing: bool,
     },
-    /// Every machine loses power, or every process is killed, right after a configuration was acknowledged.
+    /// All machines go down right after a configuration was acknowledged.
     #[serde(rename = "closing")]
     FinalFault {
-        /// Whether they lose power; else processes are killed.
+        /// Whether the machines lose power; otherwise their processes are killed.
         #[serde(default)]
         power: bool,
-        /// Machines that lose their disks.
+        /// Machines whose disk contents are lost.
         #[serde(default)]
         wipe: Option<String>,
     },
 }
 
-/// Broken parts, one for each rule.
+/// Deliberately broken parts of the system; each violates at least one rule of the checker.
 #[derive(
     Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, strum::EnumIter, strum::Display,
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Mutant {
-    /// An edge answers with the first half of the body as if it were whole.
+    /// A proxy sends the first half of a body as if it were complete.
     #[serde(rename = "half_bodies")]
     #[strum(serialize = "half_bodies")]
     TruncatedBodies,
-    /// An edge changes the path on its way to the unit.
+    /// A proxy changes the path of a request.
     #[serde(rename = "other_paths")]
     #[strum(serialize = "other_paths")]
     AlteredPaths,
-    /// What must not run twice is sent to a second unit as well.
+    /// A proxy sends a non-idempotent request to a second unit as well.
     #[serde(rename = "second_copies")]
     #[strum(serialize = "second_copies")]
     DuplicateWrites,
-    /// A 504 is handed to the client as 503.
+    /// A proxy replaces a 5xx response, after execution, by a 503, which says that nothing was executed.
     #[serde(rename = "false_promises")]
     #[strum(serialize = "false_promises")]
     FalseNotExecuted,
-    /// Proper requests are answered 403.
+    /// A proxy responds to valid requests with 403.
     #[serde(rename = "denies")]
     #[strum(serialize = "denies")]
     RejectsValidRequests,
-    /// News among proxies never come: drains, evacuations, configurations.
+    /// Gossip is lost: proxies hear of no drain, evacuation or configuration.
     #[serde(rename = "no_news")]
     #[strum(serialize = "no_news")]
     NoGossip,
-    /// Requests are broken off at SIGTERM.
+    /// A proxy aborts requests in flight at SIGTERM.
     #[serde(rename = "hasty_ends")]
     #[strum(serialize = "hasty_ends")]
     AbruptShutdown,
-    /// Every repeatable request is sent five times.
+    /// A proxy sends every idempotent request five times.
     #[serde(rename = "many_tries")]
     #[strum(serialize = "many_tries")]
     ExcessiveRetries,
-    /// No trial is ever voted back, and it gets all requests.
+    /// A canary is never reverted, and gets all requests.
     #[serde(rename = "blind_trials")]
     #[strum(serialize = "blind_trials")]
     UncontrolledCanary,
-    /// Cold units are sent to like warm ones.
+    /// Cold units get as many requests as warm ones.
     #[serde(rename = "cold_is_warm")]
     #[strum(serialize = "cold_is_warm")]
     IgnoresWarmup,
-    /// Homes are not heeded.
+    /// Home regions are ignored.
     #[serde(rename = "homeless")]
     #[strum(serialize = "homeless")]
     IgnoresHomeRegions,
-    /// Evacuations are not heeded.
+    /// Evacuations are ignored.
     #[serde(rename = "stays_there")]
     #[strum(serialize = "stays_there")]
     IgnoresEvacuation,
-    /// Disks say that they have synced and have not.
+    /// Disks report a sync that did not happen.
     #[serde(rename = "lying_disks")]
     #[strum(serialize = "lying_disks")]
     FalseSync,
-    /// A proxy goes back to an older configuration.
+    /// A proxy applies an older configuration again.
     #[serde(rename = "goes_back")]
     #[strum(serialize = "goes_back")]
     ConfigRollback,
-    /// Two configurations on the same version are both acknowledged.
+    /// Two configurations on the same base version are both acknowledged.
     #[serde(rename = "both_win")]
     #[strum(serialize = "both_win")]
     AcceptsConflicts,
-    /// Nothing is served after a loss of power.
+    /// Nothing restarts after a power loss.
     #[serde(rename = "stays_down")]
     #[strum(serialize = "stays_down")]
     NoRecovery,
-    /// Requests go to units whose address another service has now, without naming the unit.
+    /// Requests omit the target unit, and reach units of other services at reused addresses.
     #[serde(rename = "any_unit")]
     #[strum(serialize = "any_unit")]
     IgnoresTargetUnit,
-    /// A control node takes a configuration once, and refuses it when it is sent again.
+    /// A control node rejects an acknowledged configuration when it is sent again.
     #[serde(rename = "takes_once")]
     #[strum(serialize = "takes_once")]
     RejectsRepeats,
-    /// A control node is silent to every order.
+    /// A control node never responds to operations.
     #[serde(rename = "mute")]
     #[strum(serialize = "mute")]
     UnresponsiveControl,
-    /// A task of an edge panics; the others go on.
+    /// One task of a proxy panics; the others continue.
     #[serde(rename = "panics")]
     #[strum(serialize = "panics")]
     TaskPanic,
-    /// An edge ends by itself, as if all were well.
+    /// A proxy exits unexpectedly, without an error.
     #[serde(rename = "quits")]
     #[strum(serialize = "quits")]
     UnexpectedExit,
@@ -665,12 +666,12 @@
 }
 
 impl Scenario {
-    /// As a file says it.
+    /// Serializes the scenario to TOML.
     pub fn text(&self) -> String {
         toml::to_string(self).expect("plain data")
     }
 
-    /// Reads a file's text; a fault names key and line.
+    /// Parses a scenario file; an error names the key and the line.
     pub fn read(text: &str) -> Result<Scenario, String> {
         let scenario: Scenario =
             toml::from_str(text).map_err(|e| e.to_string().trim_end().to_owned())?;
--- a/crates/beechcroft-simulator/src/cluster/unit.rs
+++ b/crates/beechcroft-simulator/src/cluster/unit.rs
@@ -19,81 +19,81 @@
 const HEARTBEAT_MS: u64 = 1000;
 /// How often a unit looks whether it has something new to report, in milliseconds.
 const REPORT_CHECK_MS: u64 = 50;
-/// How long a unit keeps an idle connection.
+/// Idle timeout of a unit's connections.
 const IDLE: Duration = Duration::from_secs(15);
-/// How long a unit works on a request that names no budget, in milliseconds.
+/// Time budget of a request that names none, in milliseconds.
 const DEFAULT_BUDGET_MS: u64 = 10_000;
-/// Requests that may wait, for each slot.
+/// Queue length per slot.
 const QUEUE_PER_SLOT: usize = 3;
-/// The longest head of a request.
+/// Maximum length of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
-/// The status of a unit that is full.
+/// Status of a unit whose queue is full.
 const UNAVAILABLE: &str = "503 Service Unavailable";
-/// What a unit sends that answers with something other than HTTP.
+/// Bytes of a response that is not HTTP.
 const NOT_HTTP: &[u8] = b"\x16\x03\x01 this is no answer\r\n\r\n";
 
-/// What is the matter with a unit.
+/// Faults of a unit.
 #[derive(Clone, Debug, Default)]
 pub struct Impairment {
-    /// Part of its requests that fail with a 500, after they have run.
+    /// Share of requests that fail with a 500 after execution.
     pub failure_rate: f64,
-    /// Times as long as it should take.
+    /// Factor on the service time; below 1 has no effect.
     pub slowdown: f64,
-    /// Part of answers that are lost after the request has run.
+    /// Share of responses that are lost after execution.
     pub response_loss_rate: f64,
-    /// Part of answers that are no answer.
+    /// Share of responses that are not HTTP.
     pub malformed_response_rate: f64,
-    /// Health says the opposite.
+    /// Whether health checks report the opposite of the truth.
     pub inverts_health: bool,
-    /// What is wrong with a part of its answers.
+    /// A response fault, and the share of responses that have it.
     pub wrong: Option<(ResponseFault, f64)>,
 }
 
-/// What a unit is started with.
+/// Parameters of a new unit.
 pub struct UnitSpec {
     /// Its id.
     pub id: String,
-    /// The service that it belongs to.
+    /// Service that it belongs to.
     pub service: String,
-    /// The version of its software.
+    /// Software version.
     pub version: String,
     /// Its zone.
     pub zone: String,
-    /// The address of its machine.
+    /// Address of its host.
     pub ip: Ipv4Addr,
-    /// Requests that it executes at once.
+    /// Number of requests that it executes concurrently.
     pub slots: usize,
-    /// The mean time of a request, in milliseconds.
+    /// Mean service time, in milliseconds.
     pub work_ms: f64,
-    /// Bytes of a response's body.
+    /// Size of a response body, in bytes.
     pub response_bytes: usize,
 }
 
-/// A unit, as its process and the run see it.
+/// State of a unit, shared by its process and the run.
 pub struct Unit {
     /// Its id.
     pub id: String,
-    /// The service that it belongs to.
+    /// Service that it belongs to.
     pub service: String,
-    /// The version of its software.
+    /// Software version.
     pub version: String,
     /// Its zone.
     pub zone: String,
     /// Its address.
     pub at: SocketAddrV4,
-    /// Requests that it executes at once.
+    /// Number of requests that it executes concurrently.
     pub slots: usize,
-    /// The mean time of a request, in milliseconds.
+    /// Mean service time, in milliseconds.
     pub work_ms: f64,
-    /// Bytes of a response's body.
+    /// Size of a response body, in bytes.
     pub bytes: usize,
-    /// Until when it is cold.
+    /// Until when it is cold, in milliseconds.
     pub cold_until: Cell<u64>,
-    /// What it says of that: told a little before it turns cold.
+    /// The same as it announces it in heartbeats, shortly before it becomes cold.
     pub told_cold: Cell<u64>,
     /// Whether it drains.
     pub draining: Cell<bool>,
-    /// What is the matter with it.
+    /// Its current faults.
     pub impairment: RefCell<Impairment>,
     sequence: Cell<u64>,
     free: Semaphore,
@@ -101,7 +101,7 @@
 }
 
 impl Unit {
-    /// A unit whose process has not started.
+    /// Creates a unit whose process has not started.
     pub fn new(spec: UnitSpec) -> Unit {
         Unit {
             id: spec.id,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// How much longer it is cold, as it says.
+    /// Remaining warm-up time that it reports, in milliseconds.
     fn warm_left(&self, now: u64) -> u64 {
         self.cold_until
             .get()
@@ -135,7 +135,7 @@
         format!("{running},{},{}", self.waiting.get(), self.slots)
     }
 
-    /// The bytes of its answer to a request, and the seal on them.
+    /// The body of its response to a request, and the seal, by which the checker recognises it.
     pub fn answer_to(unit: &str, id: &str, bytes: usize) -> (Vec<u8>, String) {
         let text = format!("{unit} answers {id}. ");
         let body: Vec<u8> = text.bytes().cycle().take(bytes).collect();
@@ -143,7 +143,7 @@
         (body, seal)
     }
 
-    /// What is wrong with its next response, if anything is.
+    /// Draws the fault of the next response, if any.
     fn draw_response_fault(&self, world: &World) -> Option<ResponseFault> {
         let faulty = self.impairment.borrow().wrong;
         faulty
@@ -166,7 +166,7 @@
         )
     }
 
-    /// The status by which it rejects a request before a slot is asked for, if it does.
+    /// The status with which it rejects a request before it waits for a slot, if it does.
     fn rejection(&self, request: &UnitRequest) -> Option<&'static str> {
         if request.is_for_another(self) {
             return Some("421 Misdirected Request");
@@ -185,7 +185,7 @@
         )
     }
 
-    /// Waits for a free slot; `None` if there was none before the deadline.
+    /// Waits for a free slot; `None` if none became free before the deadline.
     async fn acquire_slot(&self, deadline: Instant) -> Option<SemaphorePermit<'_>> {
         self.waiting.set(self.waiting.get() + 1);
         let slot = timeout_at(deadline, self.free.acquire()).await;
@@ -193,7 +193,7 @@
         slot.ok()?.ok()
     }
 
-    /// Executes a request. Whether that ended before the deadline.
+    /// Executes a request; returns whether it finished before the deadline.
     async fn work(
         &self,
         world: &World,
@@ -208,7 +208,7 @@
         timeout_at(deadline, work).await.is_ok()
     }
 
-    /// The response to a request that was executed.
+    /// Encodes the response to an executed request.
     fn response(&self, attempt_id: &str, status: u16, reason: &str) -> Vec<u8> {
         let is_success = status == 200;
         let bytes = if is_success { self.bytes } else { 0 };
@@ -229,7 +229,7 @@
     }
 }
 
-/// A unit's process.
+/// Runs a unit's process.
 pub async fn run(world: Rc<World>, unit: Rc<Unit>) {
     let runtime = Runtime::simulated(Rc::new(world.network.host_network(*unit.at.ip())));
     spawn_local(send_heartbeats(
@@ -313,7 +313,7 @@
     false
 }
 
-/// A unit says that it ends.
+/// Deregisters a unit; returns whether a control node acknowledged that.
 pub async fn deregister(world: &World, unit: &Unit) -> bool {
     let runtime = Runtime::simulated(Rc::new(world.network.host_network(*unit.at.ip())));
     let path = format!("/units/{}/deregister", unit.id);
@@ -336,7 +336,7 @@
     false
 }
 
-/// Serves one request on a connection. Whether another one may follow on it.
+/// Serves one request on a connection; returns whether the connection can be reused.
 async fn serve(
     world: &Rc<World>,
     unit: &Rc<Unit>,
@@ -387,10 +387,10 @@
     .await
 }
 
-/// A request as a unit has read it.
+/// A request that a unit has read.
 struct UnitRequest {
     head: RequestHead,
-    /// The head as it came, as not all headers are parsed.
+    /// The raw head, as not all headers are parsed.
     text: String,
 }
 
@@ -399,13 +399,13 @@
         self.head.attempt_id.clone().unwrap_or_default()
     }
 
-    /// Whether it names another unit than this one.
+    /// Whether it names another unit as its target.
     fn is_for_another(&self, unit: &Unit) -> bool {
         header(&self.text, "beechcroft-target-unit").is_some_and(|target| target != unit.id)
     }
 }
 
-/// Reads a request with its body; `None` if the connection is to be closed.
+/// Reads a request with its body; `None` if the connection must be closed.
 async fn read_request(connection: &mut Connection) -> Option<(UnitRequest, Vec<u8>)> {
     let request = loop {
         match http_validation::parse_request(connection.unread(), MAX_HEAD_BYTES) {
@@ -430,7 +430,7 @@
     Some((request, body))
 }
 
-/// Records that a request arrived; its place in the history.
+/// Records that a request arrived; returns its index in the history.
 fn record(world: &World, unit: &Unit, edge: &str, request: &UnitRequest, body: Vec<u8>) -> usize {
     let now = world.now();
     let mut history = world.history.borrow_mut();
@@ -451,17 +451,17 @@
     history.endpoint_requests.len() - 1
 }
 
-/// A request that was executed, to be responded to.
+/// An executed request that awaits its response.
 struct Execution<'a> {
     world: &'a World,
     unit: &'a Unit,
     connection: &'a mut Connection,
     attempt_id: &'a str,
-    /// Its place in the history.
+    /// Its index in the history.
     entry: usize,
     impairment: &'a Impairment,
     fault: Option<ResponseFault>,
-    /// Whether it was executed before its deadline.
+    /// Whether it finished before its deadline.
     in_time: bool,
 }
 
@@ -472,7 +472,7 @@
     }
 }
 
-/// Responds to a request that was executed. Whether another one may follow on the connection.
+/// Responds to an executed request; returns whether the connection can be reused.
 async fn respond(execution: Execution<'_>) -> bool {
     let Execution {
         world,
--- a/crates/beechcroft-simulator/src/queueing_unit.rs
+++ b/crates/beechcroft-simulator/src/queueing_unit.rs
@@ -20,11 +20,11 @@
 pub struct Unit {
     /// Its id.
     pub id: std::rc::Rc<str>,
-    /// Its region.
+    /// Region of the zone.
     pub region: usize,
     /// Its zone.
     pub zone: usize,
-    /// Requests that it executes at once.
+    /// Number of requests that it executes concurrently.
     pub slots: usize,
     /// Requests that may wait.
     pub queue: usize,
