--- a/crates/beechcroft-simulator/src/cluster/disk.rs
+++ b/crates/beechcroft-simulator/src/cluster/disk.rs
@@ -1,5 +1,5 @@
-//! A core machine's disk: what was synced stays, what was being written when power went is there or not. Syncs are
-//! numbered over the world; any of them may hang or fail.
+//! A core machine's disk: synced records are durable; of records being written when power is lost, some are kept. Syncs
+//! are numbered over all disks, and any of them may hang or fail.
 
 use super::network::Network;
 use beechcroft_consensus::Records;
@@ -12,53 +12,53 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// What the k-th sync of the world does instead of its work.
+/// How a sync fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SyncFailure {
-    /// It is refused; nothing is written.
+    /// It returns an error, and nothing is written.
     Fails,
-    /// It takes so long that its caller gives up, and is done then; what comes after it waits behind it.
+    /// It takes 3 s longer, so that its caller gives up first; later syncs wait for it.
     Hangs,
-    /// It says that it is done and is not: a mutant, as no disk of the deployments does so.
+    /// It reports success without writing. Only a mutant does so, as no disk in a deployment does.
     Lies,
 }
 
-/// The records that last.
+/// Durable records by name.
 pub type Table = BTreeMap<String, Vec<u8>>;
 
-/// What a disk holds, and what it is doing.
+/// Contents and activity of a disk.
 #[derive(Default)]
 pub struct State {
-    /// What lasts.
+    /// Durable records.
     pub table: Table,
     /// Duration of a disk sync, in milliseconds.
     pub sync_ms: u64,
-    /// Of the syncs that are under way: each may last or not if power goes.
+    /// Records of syncs in progress, each kept or lost if power fails.
     pending: BTreeMap<u64, Records>,
     next: u64,
-    /// Records that cannot be read any more; each is seen at the next start of a process.
+    /// Unreadable records; they are found at the next start of a process.
     damaged: BTreeSet<String>,
-    /// Several writes wait for one sync.
+    /// End of the last queued sync.
     busy_until: Option<tokio::time::Instant>,
 }
 
-/// A machine's disk; it stays when processes end.
+/// A machine's disk; it outlives processes.
 #[derive(Clone)]
 pub struct MachineDisk {
-    /// What it holds.
+    /// Contents and activity.
     pub state: Rc<RefCell<State>>,
     network: Network,
-    /// By number of the sync.
+    /// Sync failures by sequence number.
     pub faults: Rc<RefCell<BTreeMap<u64, SyncFailure>>>,
-    /// All syncs lie.
+    /// Whether every sync reports success without writing.
     pub liar: bool,
-    /// A batch of records that is being written may last in part.
+    /// Whether a power loss may keep part of a batch.
     pub torn: bool,
 }
 
 impl MachineDisk {
-    /// An empty disk.
+    /// Creates an empty disk.
     pub fn new(
         network: &Network,
         sync_ms: u64,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Power goes: of what was being written, the earlier half is found there.
+    /// Loses power: the earlier half of the syncs in progress is kept, or any prefix of their records if writes are torn.
     pub fn power_lost(&self) {
         let mut state = self.state.borrow_mut();
         let pending = std::mem::take(&mut state.pending);
@@ -96,7 +96,7 @@
         state.busy_until = None;
     }
 
-    /// Its process ends, and the machine does not: what was written is there.
+    /// Kills the process but not the machine: everything written is kept.
     pub fn killed(&self) {
         let mut state = self.state.borrow_mut();
         let pending = std::mem::take(&mut state.pending);
@@ -104,12 +104,12 @@
         state.busy_until = None;
     }
 
-    /// A record turns unreadable.
+    /// Makes a record unreadable.
     pub fn damage(&self, record: &str) {
         self.state.borrow_mut().damaged.insert(record.to_owned());
     }
 
-    /// What a process that starts goes by: the table, with what is damaged made good or given up.
+    /// Reads the records at a process start, with damaged ones repaired or dropped.
     pub fn open(&self) -> Table {
         let mut state = self.state.borrow_mut();
         let damaged = std::mem::take(&mut state.damaged);
@@ -117,7 +117,7 @@
         state.table.clone()
     }
 
-    /// The disk is lost.
+    /// Loses the contents.
     pub fn wipe(&self) {
         let mut state = self.state.borrow_mut();
         (state.table, state.pending) = (Table::new(), BTreeMap::new());
@@ -143,7 +143,7 @@
                 if !liar {
                     state.pending.insert(nth, records);
                 }
-                // One sync after the other.
+                // Syncs run one after the other.
                 let now = tokio::time::Instant::now();
                 let from = state.busy_until.map_or(now, |until| until.max(now));
                 let hangs = Duration::from_secs(if fault == Some(SyncFailure::Hangs) {
--- a/crates/beechcroft-simulator/src/cluster/generator.rs
+++ b/crates/beechcroft-simulator/src/cluster/generator.rs
@@ -1,5 +1,5 @@
-//! Days drawn at random from all that a scenario can say, within what the system is to bear: what may be lost at the
-//! same time is `faultTolerance` of the core, or everything's power with the disks left.
+//! Random scenarios within the faults that the system must tolerate: at one time at most `faultTolerance` core machines
+//! are lost, or all machines lose power but keep their disks.
 
 use super::disk::SyncFailure;
 use super::network::PartitionKind;
@@ -10,16 +10,16 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Seconds from the end of one trouble of the core to the next of those that might add up to more than it bears.
+/// Seconds between the end of one fault of the core and the next, where both together could exceed the tolerance.
 const APART_S: f64 = 6.0;
-/// The same after a lost disk.
+/// The same after a lost disk, which must be refilled first.
 const FILLED_S: f64 = 11.0;
 
-/// When the core bears a further loss: one lane for each machine that `faultTolerance` allows.
+/// Times from which the core tolerates a further loss: one entry per machine that `faultTolerance` allows.
 struct LossSlots(Vec<f64>);
 
 impl LossSlots {
-    /// A time at which `machines` of the core may be lost for so long, if there is one before `last`.
+    /// Reserves a time from which `machines` core machines may be down for `for_s`, if one ends before `last`.
     fn take(&mut self, machines: usize, for_s: f64, last: f64) -> Option<f64> {
         self.0.sort_by(f64::total_cmp);
         let machines = machines.min(self.0.len());
@@ -34,7 +34,7 @@
     }
 }
 
-/// A day of so many edges and core machines.
+/// Generates a scenario with that many edge and core machines.
 pub fn generate(seed: u64, edges: usize, cores: usize) -> Scenario {
     let mut rng = Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0xd2a3);
     let mut scenario = Scenario::read("name = \"drawn\"").expect("defaults are sound");
@@ -87,7 +87,7 @@
             .random_bool(0.5)
             .then(|| *meets.choose(&mut rng).expect("four"));
         if let (EventKind::Partition { from, for_s, .. }, true) = (&kind, rng.random_bool(0.3)) {
-            // New seeds begin with the one that is cut off, and some edges start by them.
+            // The new seed list starts with the machine that is cut off, and some proxies restart with it.
             let kind = EventKind::ChangeSeeds {
                 first: from.clone(),
                 restart: rng.random_range(0..3),
@@ -113,7 +113,7 @@
         scenario.event.push(Event { at, kind });
     }
     if rng.random_bool(0.35) {
-        // All that the core bears has to be over.
+        // Every earlier fault of the core must be over.
         let wiped = rng.random_bool(0.4) && loss_slots.0.iter().all(|&free| free <= last + 2.0);
         let wipe = wiped.then(|| {
             *["leader", "core-0", "core-1"]
@@ -170,7 +170,7 @@
     .expect("four")
 }
 
-/// How many machines of the core an event may lose, and until when, its return and what follows among that.
+/// The number of core machines that an event may take down, and for how many seconds, recovery included.
 fn core_loss(kind: &EventKind, cores: usize) -> Option<(usize, f64)> {
     let lost = |on: &str| match on {
         "leader" | "reader" => 1,
@@ -202,7 +202,7 @@
     (machines > 0).then_some((machines, for_s))
 }
 
-/// What a day has once at most.
+/// Events that occur at most once in a scenario.
 #[derive(Default)]
 struct Once {
     rolled: bool,
--- a/crates/beechcroft-simulator/src/cluster/http.rs
+++ b/crates/beechcroft-simulator/src/cluster/http.rs
@@ -1,4 +1,4 @@
-//! Calls over HTTP/1.1 as units, clients and operators make them, with the parser of the programs.
+//! HTTP/1.1 calls of units, clients and the operator, with the parser of the programs.
 
 use beechcroft_transport::connection::{BodyReader, Connection};
 use beechcroft_transport::http_validation::{self, Parsed};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// One call on a connection of its own; the status and the body of a whole answer.
+/// One call on a new connection; returns status and body of a complete response.
 pub async fn call(
     runtime: &Runtime,
     to: SocketAddrV4,
@@ -21,7 +21,7 @@
         .map(|(status, body, _)| (status, body))
 }
 
-/// The same, and where it says that the call should go instead.
+/// The same, with the `Location` of the response.
 pub async fn call_with_location(
     runtime: &Runtime,
     to: SocketAddrV4,
@@ -49,7 +49,7 @@
     timeout(within, done).await.ok().flatten()
 }
 
-/// A whole answer to a request of that method: its head and its body.
+/// Reads a complete response to a request of that method: head and body.
 pub async fn read_response(
     line: &mut Connection,
     method: &str,
@@ -75,7 +75,7 @@
     Some((reply, held))
 }
 
-/// A header's value in a head as it came.
+/// The value of a header in a raw head.
 pub(super) fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let mut lines = head.split("\r\n").filter_map(|line| line.split_once(':'));
     lines
--- a/crates/beechcroft-simulator/src/cluster/process.rs
+++ b/crates/beechcroft-simulator/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! Processes: a program's tasks, which run, freeze, and are gone at once when it is killed.
+//! Simulated processes: the tasks of a program, which can be frozen and killed.
 
 use super::network::Network;
 use std::cell::RefCell;
@@ -11,18 +11,18 @@
 use tokio::time::{sleep_until, Instant, Sleep};
 
 thread_local! {
-    /// The day that this thread plays, if it does.
+    /// Panic recorder of the simulation that runs on this thread, if any.
     static WATCH: RefCell<Option<Watch>> = const { RefCell::new(None) };
 }
 
-/// What panics on a thread that plays a day. The runtime swallows the panic of a task, so it is seen by the hook.
+/// Records panics on a simulation thread. The runtime catches panics of tasks, so a panic hook is needed to see them.
 struct Watch {
     runs: Option<Ipv4Addr>,
     panics: Vec<(Option<Ipv4Addr>, u64, String)>,
     began: Instant,
 }
 
-/// From here to [`watched_logs`] panics on this thread are written down.
+/// Records panics on this thread until [`take_panics`].
 pub fn record_panics() {
     static HOOK: Once = Once::new();
     HOOK.call_once(|| {
@@ -38,7 +38,7 @@
                 watch.runs
             });
             if !matches!(noted, Ok(Some(_))) {
-                usual(info); // the world's own, or another thread's
+                usual(info); // of the simulator itself, or of another thread
             }
         }));
     });
@@ -50,7 +50,7 @@
     WATCH.with(|held| *held.borrow_mut() = Some(watch));
 }
 
-/// What panicked since [`watch`]: on which machine (none: the world's own tasks), when, what it said.
+/// Returns the panics since [`record_panics`]: host (`None` for tasks of the simulator itself), time in ms, message.
 pub fn take_panics() -> Vec<(Option<Ipv4Addr>, u64, String)> {
     WATCH
         .with(|watch| watch.borrow_mut().take())
@@ -66,15 +66,15 @@
     });
 }
 
-/// A program that runs. Dropping the handle leaves it running.
+/// Handle of a running program. Dropping the handle leaves the program running.
 pub struct Process {
     abort: AbortHandle,
-    /// When it began.
+    /// Start of the process.
     pub began: Instant,
 }
 
 impl Process {
-    /// Starts a program's main task on a machine, with a set of its own for the tasks that it starts.
+    /// Starts a program's main task on a host, with its own `LocalSet` for the tasks that it spawns.
     pub fn start(
         network: &Network,
         ip: Ipv4Addr,
@@ -93,18 +93,18 @@
         }
     }
 
-    /// Ends it where it stands.
+    /// Kills the process at once.
     pub fn kill(&self) {
         self.abort.abort();
     }
 
-    /// Whether it has ended by itself.
+    /// Whether the process has ended.
     pub fn is_over(&self) -> bool {
         self.abort.is_finished()
     }
 }
 
-/// Runs only while its machine is not frozen.
+/// Polls the program only while its host is not frozen.
 struct Held {
     network: Network,
     ip: Ipv4Addr,
--- a/crates/beechcroft-simulator/src/cluster/response_faults.rs
+++ b/crates/beechcroft-simulator/src/cluster/response_faults.rs
@@ -1,5 +1,5 @@
-//! Units that answer wrongly: for another request, for nobody, twice, late, in part. What a stray says is marked, so
-//! that the checker knows it where it reaches a client.
+//! Faulty responses of units: for another request, without an id, duplicated, late or truncated. A stray response has a
+//! marked body, so that the checker recognises it if it reaches a client.
 
 use super::world::World;
 use beechcroft_transport::connection::Connection;
@@ -9,88 +9,88 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// The body of every answer that belongs to no request.
+/// Body of every response that belongs to no request.
 pub const STRAY: &str = "stray answer";
-/// The longest time after which a second answer comes.
+/// Maximum delay of a second response, in milliseconds.
 const LATE_MS: f64 = 60.0;
-/// A request, or an answer's head and some of its body, is not longer.
+/// Maximum bytes of a request or response after which it is cut.
 const CUT_WITHIN: f64 = 700.0;
 
-/// What is wrong with a unit's answers.
+/// A kind of faulty response.
 #[derive(
     Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, strum::EnumIter, strum::Display,
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum ResponseFault {
-    /// Ahead of its answer, one that says `Beechcroft-Not-Executed` under no id.
+    /// Before its response, a 503 with `Beechcroft-Not-Executed` and no attempt id.
     #[serde(rename = "nameless_refusal")]
     #[strum(serialize = "nameless_refusal")]
     UnidentifiedRejection,
-    /// The same with 421.
+    /// The same with status 421.
     #[serde(rename = "nameless_elsewhere")]
     #[strum(serialize = "nameless_elsewhere")]
     UnidentifiedMisdirected,
-    /// The same with 500.
+    /// The same with status 500.
     #[serde(rename = "nameless_failure")]
     #[strum(serialize = "nameless_failure")]
     UnidentifiedFailure,
-    /// The same with 200 and a seal.
+    /// The same with status 200 and a seal.
     #[serde(rename = "nameless_success")]
     #[strum(serialize = "nameless_success")]
     UnidentifiedSuccess,
-    /// The same under the id of another request.
+    /// A 503 with `Beechcroft-Not-Executed` and the id of another attempt.
     #[serde(rename = "strange_refusal")]
     #[strum(serialize = "strange_refusal")]
     ForeignRejection,
-    /// The same with 421.
+    /// The same with status 421.
     #[serde(rename = "strange_elsewhere")]
     #[strum(serialize = "strange_elsewhere")]
     ForeignMisdirected,
-    /// The same with 500.
+    /// The same with status 500.
     #[serde(rename = "strange_failure")]
     #[strum(serialize = "strange_failure")]
     ForeignFailure,
-    /// The same with 200 and a seal.
+    /// The same with status 200 and a seal.
     #[serde(rename = "strange_success")]
     #[strum(serialize = "strange_success")]
     ForeignSuccess,
-    /// Its answer twice in one piece.
+    /// The response twice in one write.
     #[serde(rename = "twice")]
     #[strum(serialize = "twice")]
     Duplicate,
-    /// A second answer comes late, in the place of the next one.
+    /// A late rejection under the same id, where the next response is expected.
     #[serde(rename = "late_twice")]
     #[strum(serialize = "late_twice")]
     LateDuplicate,
-    /// So comes a refusal under no id.
+    /// The same without an id.
     #[serde(rename = "late_nameless_refusal")]
     #[strum(serialize = "late_nameless_refusal")]
     LateUnidentifiedRejection,
-    /// Bytes behind the answer that are none.
+    /// Bytes that are not HTTP after the response.
     #[serde(rename = "trailing")]
     #[strum(serialize = "trailing")]
     TrailingBytes,
-    /// It closes, or falls silent, after some bytes of a request that it has not run.
+    /// The unit closes the connection after some bytes of a request, which it does not execute.
     #[serde(rename = "cut_request")]
     #[strum(serialize = "cut_request")]
     ClosedDuringRequest,
-    /// It falls silent there.
+    /// The unit stops there without closing the connection.
     #[serde(rename = "silent_request")]
     #[strum(serialize = "silent_request")]
     StalledDuringRequest,
-    /// The same after some bytes of its answer to one that it has run.
+    /// The unit closes the connection after some bytes of the response to a request that it has executed.
     #[serde(rename = "cut_answer")]
     #[strum(serialize = "cut_answer")]
     ClosedDuringResponse,
-    /// It falls silent there.
+    /// The unit stops there without closing the connection.
     #[serde(rename = "silent_answer")]
     #[strum(serialize = "silent_answer")]
     StalledDuringResponse,
 }
 
 impl ResponseFault {
-    /// Whether it strikes before the request has been read.
+    /// Whether it occurs before the request has been read.
     pub fn is_at_request(self) -> bool {
         matches!(
             self,
@@ -98,7 +98,7 @@
         )
     }
 
-    /// Whether the right answer comes whole in spite of it.
+    /// Whether the correct response is still sent completely.
     fn is_answered(self) -> bool {
         !matches!(
             self,
@@ -109,7 +109,7 @@
         )
     }
 
-    /// Reads some bytes of a request, and no more.
+    /// Reads some bytes of a request and no more.
     pub async fn request(self, world: &World, line: &mut Connection) {
         let most = (world.draw() * CUT_WITHIN) as usize;
         while line.unread().len() < most {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Sends the right answer in its wrong way; whether another request may follow.
+    /// Sends a response with this fault; returns whether the connection can be reused.
     pub async fn answer(
         self,
         world: &World,
--- a/crates/beechcroft-simulator/src/cluster/run/manual.rs
+++ b/crates/beechcroft-simulator/src/cluster/run/manual.rs
@@ -1,33 +1,33 @@
-//! A world without traffic, where orders are given by hand: each to a core machine of choice, with what goes wrong between
-//! them. The programs are those of any day.
+//! Manual runs: a cluster without traffic, to which a test sends operations and faults step by step. The programs are the
+//! same as in any other run.
 
 use super::*;
 use tokio::task::JoinHandle;
 
-/// What an order came to: status and body, none if no whole answer came in time.
+/// Status and body of a call; `None` without a complete response in time.
 pub type CallResult = Option<(u16, Vec<u8>)>;
 
-/// The operator's hand.
+/// Handle of a manual run.
 #[derive(Clone)]
 pub struct ManualRun(Rc<ClusterRun>);
 
-/// Lets machines and units stand for as long as `play` lasts. The first configuration is not given.
+/// Starts machines and units, and runs them until `play` ends. No initial configuration is sent.
 pub fn run_manual<T, F>(scenario: &Scenario, simulate: impl FnOnce(ManualRun) -> F) -> T
 where
     F: std::future::Future<Output = T>,
 {
-    in_world(scenario, |scenario| async move {
-        simulate(ManualRun(stand(scenario))).await
+    run_simulation(scenario, |scenario| async move {
+        simulate(ManualRun(start_cluster(scenario))).await
     })
 }
 
 impl ManualRun {
-    /// Milliseconds since the beginning.
+    /// Milliseconds since the start of the run.
     pub fn now(&self) -> u64 {
         self.0.now()
     }
 
-    /// Lets time pass.
+    /// Waits for some simulated time.
     pub async fn wait(&self, ms: u64) {
         sleep(Duration::from_millis(ms)).await;
     }
@@ -37,7 +37,7 @@
         SocketAddrV4::new(cores[core % cores.len()], CONTROL_PORT)
     }
 
-    /// One call to a core machine; the caller goes after `within_ms`.
+    /// One call to a core machine, with a timeout of `within_ms`.
     pub async fn call(
         &self,
         core: usize,
@@ -58,7 +58,7 @@
         .await
     }
 
-    /// The same, while the hand does something else.
+    /// The same in a task of its own.
     pub fn send(
         &self,
         core: usize,
@@ -70,12 +70,12 @@
         spawn_local(async move { hand.call(core, "POST", &path, &body, within_ms).await })
     }
 
-    /// Sends an operation to one control node after the other until one ends it: the status.
+    /// Sends an operation until a control node gives a final response; returns its status.
     pub async fn send_operation(&self, first: usize, path: &str, body: &[u8]) -> Option<u16> {
         self.call_until_final(first, "POST", path, body).await
     }
 
-    /// As an operator does: a second for each core machine, one after the other, until one gives a clear answer.
+    /// Calls one control node after the other with a timeout of about a second each, until one gives a final response.
     pub async fn call_until_final(
         &self,
         first: usize,
@@ -99,13 +99,13 @@
         None
     }
 
-    /// What goes wrong, from now on.
+    /// Starts an event now.
     pub fn inject(&self, kind: EventKind) {
         let event = Event { at: 0.0, kind };
         spawn_local(self.0.clone().event(0, event, Instant::now()));
     }
 
-    /// A configuration as any day has it, under a version and on a base of choice; bodies of other `marks` differ.
+    /// A configuration with the given version and base version; each `mark` gives another body.
     pub fn config(&self, version: u32, base: u32, mark: u64) -> Vec<u8> {
         let (sent, _) = self.0.config(0, false, false);
         let mut body: serde_json::Value =
@@ -116,25 +116,25 @@
         body.to_string().into_bytes()
     }
 
-    /// What a proxy asks of a core machine, by hand.
+    /// A call to a core machine's internal port, as proxies make it.
     async fn inside(&self, core: usize, path: &str, body: &[u8]) -> Option<Vec<u8>> {
         let runtime = Runtime::simulated(Rc::new(self.0.world.network.host_network(operator())));
-        let to = SocketAddrV4::new(*self.to(core).ip(), INSIDE[0]);
+        let to = SocketAddrV4::new(*self.to(core).ip(), INTERNAL_PORTS[0]);
         let heard = call(&runtime, to, "POST", path, body, Duration::from_secs(1)).await;
         heard.filter(|heard| heard.0 == 200).map(|heard| heard.1)
     }
 
-    /// A core machine's copy of a register.
+    /// Reads a core machine's copy of a register.
     pub async fn read_register(&self, core: usize, register: u8) -> Option<Vec<u8>> {
         self.inside(core, "/copy", &[register]).await
     }
 
-    /// A vote to revert a rollout; `vote`: as an edge machine encodes it.
+    /// Sends a vote to revert a rollout, encoded as a proxy encodes it.
     pub async fn vote_to_revert(&self, core: usize, vote: &[u8]) -> bool {
         self.inside(core, "/back", vote).await.is_some()
     }
 
-    /// The version that a core machine reads back.
+    /// The configuration version that a core machine reads back.
     pub async fn config_version(&self, core: usize) -> Option<u32> {
         let (status, body) = self.call(core, "GET", "/config/show", b"", 3000).await?;
         let body: serde_json::Value = serde_json::from_slice(&body)
--- a/crates/beechcroft-simulator/src/cluster/run/operator_events.rs
+++ b/crates/beechcroft-simulator/src/cluster/run/operator_events.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl ClusterRun {
-    /// Routes are added, and one may be dropped.
+    /// Adds routes, and removes one if `drop`.
     pub(super) async fn replace_config(self: Rc<Self>, nth: usize, routes: usize, drop: bool) {
         let (sent, held) = self.config(routes, drop, true);
         let prefix = held.last().map(|(_, route, _)| route.prefix.clone());
@@ -11,16 +11,17 @@
             && self.scenario.measure_config_spread
             && routes > 0
         {
-            self.spreads(&prefix.unwrap_or_default()).await;
+            self.measure_config_spread(&prefix.unwrap_or_default())
+                .await;
         }
     }
 
-    /// Two configurations on the same base at once.
-    pub(super) async fn race(self: Rc<Self>) {
+    /// Sends two configurations on the same base version at once.
+    pub(super) async fn send_conflicting_configs(self: Rc<Self>) {
         let (one, held) = self.config(1, false, true);
         let (mut two, other) = self.config(1, false, false);
         if two.version == one.version {
-            // Each its own number on the same base.
+            // Different versions on the same base.
             let (from, to) = (
                 format!("\"version\":\"{:08x}\"", two.version),
                 two.version + 7,
@@ -33,7 +34,7 @@
         tokio::join!(first, self.clone().replace(two, other, Aim::From(1)));
     }
 
-    /// Two configurations with the same version at once.
+    /// Sends two configurations with the same version at once.
     pub(super) async fn same_version_twice(self: Rc<Self>, nth: usize) {
         let (one, held) = self.config(1, false, true);
         let (mut two, other) = self.config(1, false, false);
@@ -45,7 +46,7 @@
         tokio::join!(first, self.clone().replace(two, other, Aim::From(nth + 1)));
     }
 
-    /// A configuration that must be rejected.
+    /// Sends a configuration that must be rejected.
     pub(super) async fn invalid_config(self: Rc<Self>, nth: usize) {
         let (mut sent, held) = self.config(1, false, false);
         let text = String::from_utf8_lossy(&sent.body)
--- a/crates/beechcroft-simulator/src/cluster/scenario.rs
+++ b/crates/beechcroft-simulator/src/cluster/scenario.rs
@@ -217,7 +217,7 @@
     /// Two different configurations at once under the same version.
     #[serde(rename = "twins")]
     SameVersionTwice,
-    /// A configuration that must be rejected.
+    /// Sends a configuration that must be rejected.
     #[serde(rename = "invalid")]
     InvalidConfig,
     /// Rolls out a new version.
@@ -330,7 +330,7 @@
         /// Interval, in seconds.
         every_s: f64,
     },
-    /// Units become cold again and warm up anew.
+    /// Makes units cold again.
     #[serde(rename = "cold")]
     CoolUnits {
         /// The service.
--- a/crates/beechcroft-simulator/src/cluster/world.rs
+++ b/crates/beechcroft-simulator/src/cluster/world.rs
@@ -1,5 +1,5 @@
-//! What units, clients and operators of one run share: the network, the random numbers and the history that the
-//! checker reads.
+//! State that the units, clients and the operator of one run share: the network, the random number generator and the
+//! history that the checker reads.
 
 use super::history::{ControlExchange, History};
 use super::http::call_with_location;
@@ -14,39 +14,39 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The port of a unit.
+/// Port of a unit.
 pub const UNIT_PORT: u16 = 8080;
-/// The port that control nodes serve units and operators on.
+/// Port on which control nodes serve units and operators.
 pub const CONTROL_PORT: u16 = 8544;
-/// The port that control nodes serve the directory on.
+/// Port on which control nodes serve the directory.
 pub const DIRECTORY_PORT: u16 = 8546;
-/// The port that proxies serve clients on.
+/// Port on which proxies serve clients.
 pub const INGRESS_PORT: u16 = 8548;
-/// The port that proxies serve their readiness on.
+/// Port on which proxies report their readiness.
 pub const READINESS_PORT: u16 = 8542;
 
-/// What all actors share.
+/// Shared state of a run.
 pub struct World {
     /// The network.
     pub network: Network,
-    /// When the run began.
+    /// Start of the run.
     pub began: Instant,
-    /// All that the checker will know.
+    /// Recorded history.
     pub history: RefCell<History>,
-    /// Addresses of the control nodes, those that are gone for good left out.
+    /// Addresses of the control nodes that have not been removed.
     pub cores: RefCell<Vec<Ipv4Addr>>,
-    /// Random numbers of units, clients and operators.
+    /// Random numbers of units, clients and the operator.
     pub rng: RefCell<Pcg64Mcg>,
-    /// The last number that was given out.
+    /// Last number returned by [`World::number`].
     pub next: Cell<u64>,
-    /// Writes of clients that were answered with success.
+    /// Number of successful client writes.
     pub taken: Cell<u64>,
     /// The core machine whose directory was read last.
     pub reader: Cell<Option<Ipv4Addr>>,
 }
 
 impl World {
-    /// A world without any machine in it.
+    /// Creates a world without hosts.
     pub fn new(network: Network, seed: u64) -> Rc<World> {
         Rc::new(World {
             network,
@@ -60,29 +60,29 @@
         })
     }
 
-    /// Milliseconds since the beginning.
+    /// Milliseconds since the start of the run.
     pub fn now(&self) -> u64 {
         self.began.elapsed().as_millis() as u64
     }
 
-    /// The next number: each is given out once.
+    /// A number that is unique within the run.
     pub fn number(&self) -> u64 {
         self.next.set(self.next.get() + 1);
         self.next.get()
     }
 
-    /// A random number from 0 up to 1.
+    /// A uniform random number in [0, 1).
     pub fn draw(&self) -> f64 {
         self.rng.borrow_mut().random()
     }
 
-    /// Exponential, with that mean.
+    /// An exponentially distributed random number with that mean.
     pub fn exp(&self, mean: f64) -> f64 {
         let draw: f64 = Exp1.sample(&mut *self.rng.borrow_mut());
         draw * mean
     }
 
-    /// Asks a control node, and writes down what it said. `also`: what the path does not tell.
+    /// Calls a control node and records the exchange. `ask` is the method, the path and a suffix for the record.
     pub async fn call_control(
         &self,
         runtime: &Runtime,
@@ -96,7 +96,7 @@
             .map(|(status, body, _)| (status, body))
     }
 
-    /// The same, with where it sends its caller on to.
+    /// The same, with the `Location` of the response.
     pub async fn call_control_with_location(
         &self,
         runtime: &Runtime,
@@ -119,7 +119,7 @@
         answer
     }
 
-    /// The name of the machine with that address.
+    /// Name of the host with that address.
     pub(super) fn name_of(&self, ip: Ipv4Addr) -> String {
         self.network
             .state()
--- a/crates/beechcroft-simulator/src/event_queue.rs
+++ b/crates/beechcroft-simulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! What happens when: events in the order of their times, those of one time in the order in which they were put down.
+//! A queue of simulated events, ordered by time; events of the same time keep the order in which they were added.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Times are microseconds since the start.
+/// The event queue with its clock. Times are in microseconds since the start.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Entry<E>>>,
@@ -46,14 +46,14 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Adds an event that comes after a while.
+    /// Adds an event `wait_us` from now.
     pub fn after(&mut self, wait_us: u64, event: E) {
         self.next += 1;
         self.heap
             .push(Reverse(Entry(self.now + wait_us, self.next, event)));
     }
 
-    /// The next event before `until`; the clock goes to it.
+    /// Returns the next event up to `until`, and advances the clock to it; without one, advances the clock to `until`.
     pub fn next(&mut self, until: u64) -> Option<E> {
         if self
             .heap
@@ -68,7 +68,7 @@
         Some(event)
     }
 
-    /// Milliseconds, as the decisions count them.
+    /// The time in milliseconds.
     pub fn ms(&self) -> u64 {
         self.now / 1000
     }
--- a/crates/beechcroft-simulator/src/hot_key_study.rs
+++ b/crates/beechcroft-simulator/src/hot_key_study.rs
@@ -1,5 +1,6 @@
-//! A busy night: several regions, a Zipf of keys, one key that a part of all lookups ask for, writes for it all
-//! along, and troubles in turn. Choice, counting and spreading are `balancer`, `retry` and `hotkeys` as they run.
+//! Study of hot keys: several regions, Zipf-distributed keys, one key that gets a share of all lookups for some time,
+//! writes to it throughout, and one injected fault. Selection, counting and spreading are the crates `balancer`, `retry`
+//! and `hotkeys` themselves.
 
 use crate::event_queue::EventQueue;
 use crate::queueing_unit::{Taken, Unit};
@@ -21,52 +22,52 @@
 const SLOTS: usize = 4;
 const QUEUE: usize = 24;
 const WORK_US: f64 = 20_000.0;
-/// One way, inside a region and between regions.
+/// One-way latency within a region and between regions, in microseconds.
 const NEAR_US: u64 = 500;
 const FAR_US: u64 = 20_000;
-/// Until every unit holds what one has acknowledged; the operator's `freshMs` is above it.
+/// Time until every unit holds an acknowledged write, in microseconds; the service's `freshMs` must be longer.
 const REPLICATE_US: u64 = 80_000;
 /// The `freshMs` of the service, in milliseconds.
 pub const FRESH_MS: u64 = 200;
 /// The `usualPlaces` of the service.
 pub const DEFAULT_SPREAD: usize = 2;
 const KEYS: f64 = 100_000.0;
-/// Of connections, that are new with a request.
+/// Share of requests that open a new connection.
 const NEW_CONNECTION: f64 = 0.02;
 
 /// How keys are used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Choice without keys.
+    /// Endpoints are selected without regard to keys.
     Plain,
-    /// Usual places, never more.
+    /// Each key has its usual endpoints, and no more.
     UsualPlaces,
     /// Hot keys are spread over more endpoints.
     Spread,
 }
 
-/// What goes wrong while the crowd is there.
+/// The fault that is injected while the key is hot. The lab prints the variants' names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// Nothing goes wrong.
+    /// No fault.
     None,
-    /// A unit of the key's set crashes and comes back under another id 4 s later.
+    /// A unit of the key's set crashes and restarts under another id 4 s later.
     Crash,
     /// A region is cut off from the others for 4 s.
     Cut,
-    /// A third of the proxies start anew.
+    /// A third of the proxies restart.
     Restart,
-    /// A tenth of the units runs a version on trial, and gets a part of the requests.
+    /// A tenth of the units run a canary version, and get a share of the requests.
     Rollout,
     /// A zone is evacuated.
     Evacuate,
-    /// A second key rises as the first falls.
+    /// A second key becomes hot in place of the first.
     SecondKey,
-    /// The crowd moves from one region to another.
+    /// The lookups of the hot key move from one region to another.
     Moves,
 }
 
-/// All of them.
+/// Every variant.
 pub const INJECTED_FAULTS: [InjectedFault; 8] = [
     InjectedFault::None,
     InjectedFault::Crash,
@@ -78,7 +79,7 @@
     InjectedFault::Moves,
 ];
 
-/// One night.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct HotKeyStudy {
     /// Proxies, over all regions.
@@ -87,7 +88,7 @@
     pub units: usize,
     /// Requests a second, over all regions.
     pub rate: f64,
-    /// Part of all lookups that ask for the one key, while the crowd is there.
+    /// Share of all lookups that are for the hot key while it is hot.
     pub share: f64,
     /// How keys are used.
     pub mode: Mode,
@@ -98,7 +99,7 @@
 }
 
 impl HotKeyStudy {
-    /// As large as its proxies need.
+    /// A study with units and a request rate in proportion to its proxies.
     pub fn new(
         proxies: usize,
         share: f64,
@@ -122,12 +123,12 @@
         }
     }
 
-    /// Lookups a second of the crowded key in one region.
+    /// Lookups a second of the hot key in one region.
     pub fn rate_of_region(&self) -> f64 {
         self.rate * self.share / REGIONS as f64
     }
 
-    /// What one place may have of it.
+    /// Lookups a second of one key that one endpoint may get.
     pub fn bound(&self) -> f64 {
         TARGET_SHARE * SLOTS as f64 / WORK_US * 1e6
     }
@@ -139,42 +140,42 @@
 const FAULT_FOR_S: f64 = 4.0;
 const END_S: f64 = 25.0;
 
-/// What was seen.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct StudyReport {
-    /// Milliseconds of lookups of the crowded key while it is crowded, and of all other keys at that time.
+    /// Latency of lookups of the hot key while it is hot, in milliseconds.
     pub hot: Histogram<u64>,
-    /// Milliseconds of lookups of all other keys.
+    /// Latency of lookups of all other keys in the same time, in milliseconds.
     pub rest: Histogram<u64>,
     /// Requests that failed.
     pub failed: u64,
-    /// Lookups that were answered.
+    /// Lookups that clients sent.
     pub lookups: u64,
-    /// From the crowd's beginning until some proxy spreads the key; none if none does.
+    /// Seconds until some proxy spreads the key; `None` if none does.
     pub noticed_s: Option<f64>,
-    /// From the crowd's beginning until its set is as wide as it ever gets.
+    /// Seconds until the key's set has its maximum width.
     pub spread_s: Option<f64>,
     /// The most endpoints that the hot key was spread over.
     pub widest: usize,
-    /// From the crowd's end until every proxy is back at the usual places.
+    /// Seconds from the end of the hot phase until every proxy is back at the usual endpoints.
     pub returned_s: Option<f64>,
     /// Writes that were acknowledged.
     pub acked_writes: u64,
     /// Writes that were executed twice.
     pub duplicate_writes: u64,
-    /// Acknowledged writes that no unit holds.
+    /// Acknowledged writes that were never executed.
     pub lost_writes: u64,
-    /// Lookups older than the connection's own acknowledged write, and than what it had been shown.
+    /// Lookups that returned a state older than the connection's own acknowledged write.
     pub stale_reads: u64,
-    /// Lookups that showed an older state than an earlier one of the same connection.
+    /// Lookups that returned a state older than an earlier lookup on the same connection.
     pub regressed_reads: u64,
-    /// The same where the connection was bound to a unit that is gone or cannot be reached.
+    /// The same, where the connection was bound to a unit other than the one that responded.
     pub unbound_reads: u64,
-    /// Units that answered one ordinary key, at most.
+    /// Maximum number of units that served one normal key.
     pub max_endpoints_per_normal_key: usize,
-    /// Requests at the fullest unit over the mean, while the crowd is there.
+    /// Requests at the busiest unit over the mean of all units, while the key is hot.
     pub peak_to_mean_load: f64,
-    /// Of words on keys, from all proxies to all that hear them.
+    /// Bytes of hot-key reports over all pairs of proxies.
     pub report_bytes: u64,
 }
 
@@ -190,7 +191,7 @@
 #[derive(Default)]
 struct Connection {
     proxy: usize,
-    /// One request at a time, as on any such connection.
+    /// Whether a request is in flight; HTTP/1.1 allows one at a time.
     busy: bool,
     pins: SessionAffinity,
     wrote: BTreeMap<u64, u64>,
@@ -205,7 +206,7 @@
     began: u64,
     retry: RetryState,
     tried: Vec<Rc<str>>,
-    /// The unit that it is at, and whether that is the one its connection was bound to.
+    /// Index of the unit that it was sent to.
     unit: usize,
     bound: Option<Rc<str>>,
     class: VersionClass,
@@ -214,10 +215,10 @@
 enum Event {
     Client,
     Write,
-    /// A request comes to a unit.
+    /// A request arrives at a unit.
     Comes(u64),
     Ran(u64, usize),
-    /// An answer, or a failure, comes back to the proxy.
+    /// A response or a failure reaches the proxy.
     Back(u64, Result<u64, AttemptOutcome>, u32),
     Replicated {
         key: u64,
@@ -236,7 +237,7 @@
     FaultEnds,
 }
 
-/// Plays one night.
+/// Runs the study.
 pub fn simulate(study: HotKeyStudy) -> StudyReport {
     let mut world = World::new(study);
     world.run();
@@ -249,7 +250,7 @@
     rng: Pcg64Mcg,
     zipf: Zipf<f64>,
     units: Vec<Unit>,
-    /// By unit and key: the version that the unit holds of the two watched keys.
+    /// By unit and key: the version that the unit holds of the two hot keys.
     held: Vec<BTreeMap<u64, u64>>,
     newest: BTreeMap<u64, u64>,
     proxies: Vec<Proxy>,
@@ -262,7 +263,7 @@
     hot: [u64; 2],
     answered_by: BTreeMap<u64, BTreeSet<usize>>,
     returned_at: Option<u64>,
-    /// Requests that came to each unit while the crowd was there.
+    /// Requests at each unit while the key was hot.
     came: BTreeMap<usize, u64>,
     seen: StudyReport,
 }
@@ -460,12 +461,12 @@
         }
     }
 
-    /// The key that a lookup from a region asks for.
+    /// Draws the key of a lookup from a region.
     fn draw_key(&mut self, region: usize) -> u64 {
         let (injected_fault, seconds) = (self.study.injected_fault, self.seconds());
         if self.crowded() {
             let later = seconds >= FAULT_FROM_S;
-            // A crowd that moves is all in one region, and then all in another.
+            // With `Moves` all lookups of the hot key come from one region, then from another.
             let here = match injected_fault {
                 InjectedFault::Moves => region == usize::from(later),
                 _ => true,
@@ -501,7 +502,7 @@
         self.begin(connection, key, false);
     }
 
-    /// A connection without a request, a new one if all that are drawn are at work.
+    /// Draws an idle connection; opens a new one after eight busy ones.
     fn idle(&mut self) -> usize {
         for _ in 0..8 {
             let connection = self.rng.random_range(0..self.connections.len());
@@ -558,7 +559,7 @@
         self.offer(id);
     }
 
-    /// Chooses a unit and sends the request there.
+    /// Selects a unit and sends the request to it.
     fn offer(&mut self, id: u64) {
         let now = self.event_queue.ms();
         let request = self.requests.get_mut(&id).expect("open");
@@ -606,7 +607,7 @@
             .cut
             .is_some_and(|cut| from != to && (from == cut || to == cut))
         {
-            // Nothing comes up: the proxy gives up the connection.
+            // The connection attempt times out.
             return self
                 .event_queue
                 .after(250_000, Event::Back(id, Err(AttemptOutcome::NotSent), 0));
@@ -625,7 +626,7 @@
     }
 
     fn comes(&mut self, id: u64) {
-        // What a proxy had under way is gone with its incarnation.
+        // Requests in flight at a proxy are lost when it restarts.
         let Some(unit) = self.requests.get(&id).map(|request| request.unit) else {
             return;
         };
@@ -806,7 +807,7 @@
         }
     }
 
-    /// Each proxy's word goes to the others of its region, late and sometimes lost.
+    /// Sends each proxy's report to the others of its region, with delay and some loss.
     fn tell(&mut self) {
         self.event_queue.after(100_000, Event::Tell);
         let now = self.event_queue.ms();
--- a/crates/beechcroft-simulator/src/lib.rs
+++ b/crates/beechcroft-simulator/src/lib.rs
@@ -1,7 +1,7 @@
-//! A deterministic simulator of the system: one seed, the same run to the byte.
+//! Deterministic simulation of the system: the same seed gives the same run, byte for byte.
 //!
-//! [`cluster`] runs both programs on simulated machines under a checker of the rules. The studies run single decision
-//! packages in many copies. What is simulated is what these stand on: time, network, disks, units and clients.
+//! [`cluster`] runs both programs on simulated machines, and a checker verifies the rules. The studies run many instances
+//! of single decision crates. Time, the network, disks, units and clients are simulated.
 
 #![warn(missing_docs)]
 
--- a/crates/beechcroft-simulator/src/outlier_study.rs
+++ b/crates/beechcroft-simulator/src/outlier_study.rs
@@ -1,6 +1,6 @@
-//! What proxies of three regions see of units, second by second: ill units of each kind, brief losses of sight, lost
-//! messages; and, apart from that, a placement that moves while proxies are cut off. Verdicts and leases are
-//! `belvedere` as it runs.
+//! Study of outlier detection by proxies of three regions, second by second: impaired units, brief losses of contact and
+//! lost reports; and, separately, a placement that changes while proxies are cut off. Verdicts and leases are the code of
+//! `beechcroft-outlier` itself.
 
 use beechcroft_config::config::OutlierRules;
 use beechcroft_outlier::placement::check_placement;
@@ -11,20 +11,20 @@
 
 const REGIONS: [&str; 3] = ["north", "south", "east"];
 
-/// What is the matter with unit 0 while it is ill.
+/// Impairment of unit 0. The lab prints the variants' names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Impairment {
-    /// A third of its requests fail, its health is good.
+    /// A third of its requests fail; its health check passes.
     Grey,
-    /// Its responses are late.
+    /// Its responses are slow.
     Late,
     /// It does not respond.
     Dark,
-    /// Dark for 3 s in every 10.
+    /// It does not respond for 3 s out of every 10 s.
     Flaps,
 }
 
-/// All of them.
+/// Every variant.
 pub const IMPAIRMENTS: [Impairment; 4] = [
     Impairment::Grey,
     Impairment::Late,
@@ -32,51 +32,51 @@
     Impairment::Flaps,
 ];
 
-/// One unit of many, watched by all proxies.
+/// Parameters of a run in which one unit of a service is impaired.
 #[derive(Clone, Copy, Debug)]
 pub struct OutlierStudy {
-    /// Proxies that watch.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Units of the service.
+    /// Number of units of the service.
     pub units: u32,
     /// Requests a second to each unit, from all proxies.
     pub rate: f64,
-    /// What is wrong with the one unit, if anything is.
+    /// Impairment of unit 0, if any.
     pub ill: Option<Impairment>,
-    /// From when on, and until when, in seconds.
+    /// Begin and end of the impairment, in seconds.
     pub span: (u32, u32),
-    /// Seconds that are played.
+    /// Simulated seconds.
     pub seconds: u32,
-    /// A region loses sight of one unit, or of all, for a moment, once in so many seconds.
+    /// Interval, in seconds, at which a region loses contact with one unit, or with all, for a second; 0 for never.
     pub blackout_period_s: u32,
-    /// Part of reports that are lost.
+    /// Share of reports that are lost.
     pub loss: f64,
     /// The seed of the random numbers.
     pub seed: u64,
 }
 
-/// What came of it.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Seconds from the beginning of the illness until half, and until all proxies set the unit aside.
+    /// Seconds from the begin of the impairment until half, and until all, of the proxies have ejected the unit.
     pub ejected_after_s: Option<(u32, u32)>,
-    /// Seconds from its end until all have it back.
+    /// Seconds from its end until no proxy ejects the unit.
     pub recovered_after_s: Option<u32>,
-    /// Verdicts on sound units, in unit-seconds and proxy-seconds.
+    /// Ejections of healthy units, counted per unit, proxy and second.
     pub false_ejections: u64,
-    /// Judgements of sound units, in unit-seconds and proxy-seconds.
+    /// Verdicts on healthy units, counted per unit, proxy and second.
     pub judgements: u64,
-    /// Requests to the ill unit by proxies that go by verdicts.
+    /// Requests to the impaired unit by proxies that follow the shared verdicts.
     pub sent: u64,
-    /// The same by proxies that go by their own failures alone.
+    /// The same by proxies that follow only their own failures.
     pub sent_with_local_ejection: u64,
-    /// The same by proxies that go by neither.
+    /// The same by proxies that never eject.
     pub sent_without_ejection: u64,
     /// Bytes of reports.
     pub bytes: u64,
 }
 
-/// Plays one watch. Time goes by seconds, as words do.
+/// Runs the study in steps of a second, which is also the interval of reports.
 pub fn simulate(rules: &OutlierRules, watch: OutlierStudy) -> Report {
     let mut rng = Pcg64Mcg::seed_from_u64(watch.seed);
     let mut benches = vec![OutlierDetector::default(); watch.proxies];
@@ -125,7 +125,7 @@
                 if aside {
                     continue;
                 }
-                // A moment's loss of sight: a region loses one unit, or all of them.
+                // A brief loss of contact: a region loses one unit, or all of them.
                 let lost = blink
                     && proxy % 3 == blind_region
                     && (blind_unit >= watch.units || blind_unit == unit);
@@ -147,7 +147,7 @@
                         count.responses -= count.errors;
                     }
                     Some(Impairment::Late) => count.late = each,
-                    // Sound units fail now and then.
+                    // Healthy units fail 0.4% of requests.
                     _ => {
                         count.errors = (0..each).filter(|_| rng.random_bool(0.004)).count() as u16;
                         count.responses -= count.errors;
@@ -190,7 +190,7 @@
                 if at != own && rng.random_bool(watch.loss) {
                     continue;
                 }
-                // Most words are there within the second; some come with the next one's.
+                // Four of five reports arrive within the second, the others in the next.
                 if at == own || !(from + at + second as usize).is_multiple_of(5) {
                     bench.merge(&word);
                 } else {
@@ -213,29 +213,29 @@
     report
 }
 
-/// Sound units for a long time, under brief losses of sight and lost words, as one proxy judges them.
+/// Parameters of a long run with healthy units only, under brief losses of contact and lost reports, for one proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct LongStudy {
-    /// Proxies that watch.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Units of the service.
+    /// Number of units of the service.
     pub units: u32,
-    /// Requests a second to each unit, from all proxies; of which so many fail without any illness.
+    /// Requests a second to each unit, from all proxies.
     pub rate: f64,
-    /// Part of requests that fail at every unit.
+    /// Share of requests that fail at every unit.
     pub errors: f64,
-    /// Seconds that are played.
+    /// Simulated seconds.
     pub seconds: u32,
-    /// A region loses sight of one unit, or of all, for a second, once in so many seconds.
+    /// Interval, in seconds, at which a region loses contact with one unit, or with all, for a second.
     pub blackout_period_s: u32,
-    /// Part of reports that are lost.
+    /// Share of reports that are lost.
     pub loss: f64,
     /// The seed of the random numbers.
     pub seed: u64,
 }
 
-/// Seconds that some unit was wrongly unfit, and how often one became so. Verdicts are asked for whenever there is
-/// something bad: only that makes a fit unit unfit.
+/// Returns the unit-seconds of false ejections, and their number. Verdicts are evaluated only for units that are ejected
+/// or have new failures, as nothing else can change them.
 pub fn simulate_long_term(rules: &OutlierRules, long: LongStudy) -> (u64, u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(long.seed);
     let mut bench = OutlierDetector::default();
@@ -243,7 +243,7 @@
     let ills =
         Poisson::new((long.rate * long.errors * f64::from(long.units)).max(1e-9)).expect("above 0");
     let (mut wrong, mut times) = (0, 0);
-    // Units of which something bad was told lately: all proxies tell of them.
+    // Until when all proxies report on a unit, because a failure of it was reported recently.
     let mut asked: Vec<u32> = vec![0; long.units as usize];
     let mut unfit = vec![false; long.units as usize];
     for second in 1..=long.seconds {
@@ -321,13 +321,13 @@
     (wrong, times)
 }
 
-/// A placement of a key moves from one unit to another while proxies are cut off and hear of it late: for how many
-/// milliseconds two proxies would place the same key differently. `fence`: as it runs, or not at all.
+/// The placement of a key moves from one unit to another while proxies are cut off and learn of it late: for how many
+/// milliseconds two proxies would place the key differently. `fenced` enables the lease and fence check.
 pub fn conflicting_placement_ms(proxies: usize, seed: u64, fenced: bool) -> u64 {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     const MOVED: u64 = 20_000;
     let mut apart = 0;
-    // Each proxy: when it learns, and when it is cut off.
+    // Per proxy: when it learns of the move, and begin and end of its partition.
     let all: Vec<(u64, u64, u64)> = (0..proxies)
         .map(|_| {
             let cut = if rng.random_bool(0.3) {
@@ -348,8 +348,8 @@
     for now in (0..60_000).step_by(10) {
         let mut places = [false; 2];
         for &(learns, cut, until) in &all {
-            // The core shows each second that it agrees; its word is up to a second and its way old. It says upon
-            // what: a proxy that has not learned of the move is in touch with nothing later.
+            // The core confirms its agreement each second, so a confirmation is up to a second plus its latency old. It names the
+            // placement that it confirms: for a proxy that has not learned of the move, no later confirmation counts.
             let heard = if (cut..until).contains(&now) {
                 cut.saturating_sub(200)
             } else {
--- a/crates/beechcroft-simulator/src/queueing_unit.rs
+++ b/crates/beechcroft-simulator/src/queueing_unit.rs
@@ -1,17 +1,17 @@
-//! Units as PROTOCOL describes them: slots, a short queue, a life that may end.
+//! A queueing model of a unit as PROTOCOL describes it: concurrent slots, a bounded queue, and a process that may end.
 
 use std::collections::VecDeque;
 
-/// What a unit does with a request that has come.
+/// What a unit does with a request on arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// It is executed at once.
+    /// It is executed immediately.
     Runs,
-    /// It waits.
+    /// It is queued.
     Waits,
-    /// It is rejected.
+    /// It is rejected, as the queue is full.
     Full,
-    /// Nothing is there.
+    /// The unit's process does not run.
     Gone,
 }
 
@@ -26,18 +26,18 @@
     pub zone: usize,
     /// Number of requests that it executes concurrently.
     pub slots: usize,
-    /// Requests that may wait.
+    /// Maximum length of the queue.
     pub queue: usize,
-    /// Whether its process runs.
+    /// Whether the process runs.
     pub alive: bool,
-    /// Requests that run, by their number, and those that wait.
+    /// Requests in execution, by number.
     pub running: Vec<u64>,
-    /// Requests that wait, in their order.
+    /// Queued requests, in order.
     pub waiting: VecDeque<u64>,
 }
 
 impl Unit {
-    /// A unit without requests.
+    /// Creates an idle unit.
     pub fn new(id: &str, region: usize, zone: usize, slots: usize, queue: usize) -> Unit {
         let (running, waiting) = (Vec::new(), VecDeque::new());
         Unit {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// A request has run; the one that runs next, if one waits. False if it is not running here any more.
+    /// A request has finished. Returns the queued request that starts next, if any; `None` if the request is not running here.
     pub fn done(&mut self, request: u64) -> Option<Option<u64>> {
         let at = self.running.iter().position(|&of| of == request)?;
         self.running.swap_remove(at);
@@ -76,7 +76,7 @@
         Some(next)
     }
 
-    /// It ends at once; what it was at work on, and what waited.
+    /// Ends the process; returns the requests in execution and the queued ones.
     pub fn crash(&mut self) -> (Vec<u64>, Vec<u64>) {
         self.alive = false;
         (
@@ -85,7 +85,7 @@
         )
     }
 
-    /// Requests that are executed or wait.
+    /// Number of requests in execution and in the queue.
     pub fn load(&self) -> u32 {
         (self.running.len() + self.waiting.len()) as u32
     }
