--- a/crates/beechcroft-simulator/src/cluster/mod.rs
+++ b/crates/beechcroft-simulator/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! The whole system in a world: the programs as they run, on simulated machines, under an checker.
+//! Simulation of the whole cluster: the real programs run on simulated machines, and a checker verifies the history.
 
 pub mod checker;
 pub mod client;
@@ -17,5 +17,5 @@
 pub mod world;
 
 pub use checker::{Verdict, Violation};
-pub use run::{play, run_manually, ManualRun, Report};
+pub use run::{run_manual, simulate, ManualRun, Report};
 pub use scenario::Scenario;
