--- a/crates/beechcroft-fakes/src/store.rs
+++ b/crates/beechcroft-fakes/src/store.rs
@@ -1,6 +1,6 @@
 //! A store that speaks RESP: the commands that the project uses, with expiry, and by script all that a store can do wrong.
 
-use beechcroft_resp::{reply, Bounds, Reader, Value, Version};
+use beechcroft_resp::{encode_value, Decoder, MessageLimits, Value, Version};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -8,10 +8,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-const BOUNDS: Bounds = Bounds {
-    bytes: 1 << 20,
-    nesting: 4,
-    values: 4096,
+const MESSAGE_LIMITS: MessageLimits = MessageLimits {
+    max_bytes: 1 << 20,
+    max_depth: 4,
+    max_values: 4096,
 };
 
 /// What is done to replies, on all connections from now on.
@@ -62,16 +62,16 @@
 const HISTORY: usize = 64;
 
 #[derive(Clone)]
-pub struct Store {
+pub struct FakeStore {
     address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
-impl Store {
+impl FakeStore {
     /// On a loopback port of its own; its threads end with the process.
-    pub fn start() -> std::io::Result<Store> {
+    pub fn start() -> std::io::Result<FakeStore> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let store = Store {
+        let store = FakeStore {
             address: listener.local_addr()?,
             state: Arc::default(),
         };
@@ -93,12 +93,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn script(&self, script: Script) {
+    pub fn set_script(&self, script: Script) {
         self.state().script = script;
     }
 
     /// Ends all connections and takes none until it comes back.
-    pub fn vanish(&self) {
+    pub fn go_down(&self) {
         let mut state = self.state();
         state.gone = true;
         state
@@ -107,7 +107,7 @@
             .for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
     }
 
-    pub fn come_back(&self) {
+    pub fn come_up(&self) {
         self.state().gone = false;
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Brings an old state back beneath whoever is connected: the one before the last `writes`.
-    pub fn recall(&self, writes: usize) {
+    pub fn roll_back(&self, writes: usize) {
         let mut state = self.state();
         let at = state.before.len().saturating_sub(writes);
         if let Some(keys) = state.before.get(at).cloned() {
@@ -141,7 +141,7 @@
     }
 
     /// Commands so far, as they came.
-    pub fn asked(&self) -> Vec<Vec<String>> {
+    pub fn commands(&self) -> Vec<Vec<String>> {
         self.state().asked.clone()
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Connections opened so far.
-    pub fn opened(&self) -> usize {
+    pub fn connections_opened(&self) -> usize {
         self.state().opened
     }
 
@@ -171,7 +171,7 @@
             state.opened += 1;
             state.connections.extend(stream.try_clone());
         }
-        let mut reader = Reader::new(BOUNDS, Version::Resp2);
+        let mut reader = Decoder::new(MESSAGE_LIMITS, Version::Resp2);
         let mut client = Client {
             version: Version::Resp2,
             allowed: self.state().script.password.is_none(),
@@ -228,7 +228,7 @@
             .push(words.iter().map(|word| text(word)).collect());
         let value = state.carry_out(words, client);
         let mut bytes = Vec::new();
-        reply(&value, client.version, &mut bytes);
+        encode_value(&value, client.version, &mut bytes);
         bytes
     }
 }
--- a/crates/beechcroft-resp/src/lib.rs
+++ b/crates/beechcroft-resp/src/lib.rs
@@ -15,13 +15,13 @@
 
 /// What a message may be at most.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct MessageLimits {
     /// Bytes of a message, with all that is in it.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// Lists within lists.
-    pub nesting: usize,
+    pub max_depth: usize,
     /// Values in a message, however nested.
-    pub values: usize,
+    pub max_values: usize,
 }
 
 /// Which protocol a connection has agreed on.
@@ -49,48 +49,50 @@
 
 /// What cannot be read; nothing behind it on its connection can be believed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Malformed {
+pub enum DecodeError {
     /// Longer, deeper or of more values than the bounds allow.
-    TooMuch(&'static str),
+    LimitExceeded(&'static str),
     /// Not RESP.
-    Byte {
+    UnknownType {
         byte: u8,
     },
-    Length(String),
+    InvalidLength(String),
     /// RESP3's streamed strings and lists, which are not taken.
     Streamed,
     Other(String),
 }
 
-impl fmt::Display for Malformed {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Malformed::TooMuch(what) => write!(f, "a message with more {what} than are taken"),
-            Malformed::Byte { byte } => {
+            DecodeError::LimitExceeded(what) => {
+                write!(f, "a message with more {what} than are taken")
+            }
+            DecodeError::UnknownType { byte } => {
                 write!(f, "a message cannot begin with {:?}", char::from(*byte))
             }
-            Malformed::Length(text) => write!(f, "{text:?} is no length"),
-            Malformed::Streamed => f.write_str("streamed strings and lists are not taken"),
-            Malformed::Other(what) => f.write_str(what),
+            DecodeError::InvalidLength(text) => write!(f, "{text:?} is no length"),
+            DecodeError::Streamed => f.write_str("streamed strings and lists are not taken"),
+            DecodeError::Other(what) => f.write_str(what),
         }
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for DecodeError {}
 
 /// Cuts messages out of what a connection brings.
 #[derive(Debug)]
-pub struct Reader {
+pub struct Decoder {
     buffer: BytesMut,
     scan: Scan,
-    bounds: Bounds,
+    bounds: MessageLimits,
     version: Version,
 }
 
-impl Reader {
+impl Decoder {
     /// Of a connection that speaks this version from here on.
-    pub fn new(bounds: Bounds, version: Version) -> Reader {
-        Reader {
+    pub fn new(bounds: MessageLimits, version: Version) -> Decoder {
+        Decoder {
             buffer: BytesMut::new(),
             scan: Scan::default(),
             bounds,
@@ -99,7 +101,7 @@
     }
 
     /// What follows is of this version: to be told before the reply to `HELLO` is read, which is of the version asked for.
-    pub fn speaks(&mut self, version: Version) {
+    pub fn set_version(&mut self, version: Version) {
         self.version = version;
     }
 
@@ -108,12 +110,12 @@
     }
 
     /// Bytes that were fed and not yet given out.
-    pub fn held(&self) -> usize {
+    pub fn buffered_len(&self) -> usize {
         self.buffer.len()
     }
 
     /// The next message that is whole. After an error the connection is of no further use.
-    pub fn next_message(&mut self) -> Result<Option<Value>, Malformed> {
+    pub fn next_message(&mut self) -> Result<Option<Value>, DecodeError> {
         let Some(length) = self.scan.go_on(&self.buffer, self.bounds)? else {
             return Ok(None);
         };
@@ -132,15 +134,15 @@
         };
         match decoded {
             Ok(Some((value, used))) if used == length => value.map(Some),
-            Ok(_) => Err(Malformed::Other(
+            Ok(_) => Err(DecodeError::Other(
                 "a message that ends elsewhere than it says".to_owned(),
             )),
-            Err(error) => Err(Malformed::Other(error.to_string())),
+            Err(error) => Err(DecodeError::Other(error.to_string())),
         }
     }
 }
 
-fn value2(frame: Frame2) -> Result<Value, Malformed> {
+fn value2(frame: Frame2) -> Result<Value, DecodeError> {
     Ok(match frame {
         Frame2::SimpleString(data) | Frame2::BulkString(data) => Value::Text(data),
         Frame2::Error(data) => Value::Fault(data.to_string()),
@@ -150,7 +152,7 @@
     })
 }
 
-fn value3(frame: Frame3) -> Result<Value, Malformed> {
+fn value3(frame: Frame3) -> Result<Value, DecodeError> {
     let all = |frames: Vec<Frame3>| {
         frames
             .into_iter()
@@ -178,14 +180,16 @@
             Value::Map(pairs.collect::<Result<_, _>>()?)
         }
         Frame3::Hello { .. } => {
-            return Err(Malformed::Other("HELLO as a message of its own".to_owned()))
+            return Err(DecodeError::Other(
+                "HELLO as a message of its own".to_owned(),
+            ))
         }
-        Frame3::ChunkedString(_) => return Err(Malformed::Streamed),
+        Frame3::ChunkedString(_) => return Err(DecodeError::Streamed),
     })
 }
 
 /// A command, as both versions write it: a list of strings.
-pub fn command<T: AsRef<[u8]>>(words: &[T], to: &mut Vec<u8>) {
+pub fn encode_command<T: AsRef<[u8]>>(words: &[T], to: &mut Vec<u8>) {
     to.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
     words.iter().for_each(|word| text(word.as_ref(), to));
 }
@@ -197,7 +201,7 @@
 }
 
 /// A reply. RESP2 has no maps, flags, doubles and pushes: they are written as it writes them, a push not at all.
-pub fn reply(value: &Value, version: Version, to: &mut Vec<u8>) {
+pub fn encode_value(value: &Value, version: Version, to: &mut Vec<u8>) {
     let three = version == Version::Resp3;
     let mut line = |text: String| to.extend_from_slice(text.as_bytes());
     match value {
@@ -213,11 +217,13 @@
         Value::Text(bytes) => text(bytes, to),
         Value::List(all) => {
             line(format!("*{}\r\n", all.len()));
-            all.iter().for_each(|value| reply(value, version, to));
+            all.iter()
+                .for_each(|value| encode_value(value, version, to));
         }
         Value::Push(all) if three => {
             line(format!(">{}\r\n", all.len()));
-            all.iter().for_each(|value| reply(value, version, to));
+            all.iter()
+                .for_each(|value| encode_value(value, version, to));
         }
         Value::Push(_) => {}
         Value::Map(pairs) => {
@@ -229,7 +235,7 @@
             pairs
                 .iter()
                 .flat_map(|(key, held)| [key, held])
-                .for_each(|value| reply(value, version, to));
+                .for_each(|value| encode_value(value, version, to));
         }
     }
 }
--- a/crates/beechcroft-resp/src/scan.rs
+++ b/crates/beechcroft-resp/src/scan.rs
@@ -1,6 +1,6 @@
 //! Finds where a message ends, without recursion and without looking at a byte twice, however it is cut.
 
-use crate::{Bounds, Malformed};
+use crate::{DecodeError, MessageLimits};
 
 /// The longest line: a length, a number, or a simple string.
 const LINE_MAX: usize = 4096;
@@ -20,7 +20,11 @@
 
 impl Scan {
     /// The length of the message that the bytes begin with, once it is whole.
-    pub fn go_on(&mut self, bytes: &[u8], bounds: Bounds) -> Result<Option<usize>, Malformed> {
+    pub fn go_on(
+        &mut self,
+        bytes: &[u8],
+        bounds: MessageLimits,
+    ) -> Result<Option<usize>, DecodeError> {
         loop {
             if self.begun && self.open.is_empty() {
                 return Ok(Some(self.at));
@@ -34,18 +38,18 @@
                 // The last byte may be the first half of a line's end.
                 self.looked = self.at.max(bytes.len().saturating_sub(1));
                 if bytes.len() - self.at > LINE_MAX {
-                    return Err(Malformed::TooMuch("bytes in a line"));
+                    return Err(DecodeError::LimitExceeded("bytes in a line"));
                 }
                 return within(bytes.len(), bounds).map(|()| None);
             };
             let end = from + end;
             if end - self.at > LINE_MAX {
-                return Err(Malformed::TooMuch("bytes in a line"));
+                return Err(DecodeError::LimitExceeded("bytes in a line"));
             }
             let line = &bytes[self.at..end];
             let after = end + 2;
             let Some((&kind, rest)) = line.split_first() else {
-                return Err(Malformed::Byte { byte: b'\r' });
+                return Err(DecodeError::UnknownType { byte: b'\r' });
             };
             let (end_at, holds) = match kind {
                 b'+' | b'-' | b':' | b'_' | b'#' | b',' | b'(' => (after, 0),
@@ -53,7 +57,7 @@
                     Some(length) => (
                         after
                             .checked_add(length + 2)
-                            .ok_or(Malformed::TooMuch("bytes"))?,
+                            .ok_or(DecodeError::LimitExceeded("bytes"))?,
                         0,
                     ),
                     None => (after, 0),
@@ -64,9 +68,9 @@
                     length(rest)?
                         .unwrap_or(0)
                         .checked_mul(2)
-                        .ok_or(Malformed::TooMuch("values"))?,
+                        .ok_or(DecodeError::LimitExceeded("values"))?,
                 ),
-                byte => return Err(Malformed::Byte { byte }),
+                byte => return Err(DecodeError::UnknownType { byte }),
             };
             within(end_at, bounds)?;
             if bytes.len() < end_at {
@@ -78,8 +82,8 @@
             self.looked = end_at;
             self.begun = true;
             self.values = self.values.saturating_add(1).saturating_add(holds);
-            if self.values > bounds.values {
-                return Err(Malformed::TooMuch("values"));
+            if self.values > bounds.max_values {
+                return Err(DecodeError::LimitExceeded("values"));
             }
             // An attribute stands before the value that it belongs to, and is none itself.
             if kind == b'|' {
@@ -95,8 +99,8 @@
                     self.open.push(holds);
                 }
             }
-            if self.open.len() > bounds.nesting {
-                return Err(Malformed::TooMuch("lists in lists"));
+            if self.open.len() > bounds.max_depth {
+                return Err(DecodeError::LimitExceeded("lists in lists"));
             }
             while self.open.last() == Some(&0) {
                 self.open.pop();
@@ -111,17 +115,17 @@
     }
 }
 
-fn within(length: usize, bounds: Bounds) -> Result<(), Malformed> {
-    if length > bounds.bytes {
-        return Err(Malformed::TooMuch("bytes"));
+fn within(length: usize, bounds: MessageLimits) -> Result<(), DecodeError> {
+    if length > bounds.max_bytes {
+        return Err(DecodeError::LimitExceeded("bytes"));
     }
     Ok(())
 }
 
 /// A length; none where it says that there is nothing (`-1`).
-fn length(text: &[u8]) -> Result<Option<usize>, Malformed> {
+fn length(text: &[u8]) -> Result<Option<usize>, DecodeError> {
     if text == b"?" {
-        return Err(Malformed::Streamed);
+        return Err(DecodeError::Streamed);
     }
     if text == b"-1" {
         return Ok(None);
@@ -132,5 +136,5 @@
     let length = digits.and_then(|digits| digits.parse().ok());
     length
         .map(Some)
-        .ok_or_else(|| Malformed::Length(String::from_utf8_lossy(text).into_owned()))
+        .ok_or_else(|| DecodeError::InvalidLength(String::from_utf8_lossy(text).into_owned()))
 }
--- a/crates/beechcroft-store/src/claim.rs
+++ b/crates/beechcroft-store/src/claim.rs
@@ -11,7 +11,7 @@
 const FORM: &str = "1";
 
 /// The name of a task's mark: under the operator's prefix, by track, tenant and key, as two tracks may use one key.
-pub fn name(prefix: &str, track: TrackId, tenant: Option<usize>, key: &str) -> String {
+pub fn mark_key(prefix: &str, track: TrackId, tenant: Option<usize>, key: &str) -> String {
     let tenant = tenant.map_or("-".to_owned(), |tenant| tenant.to_string());
     format!("{prefix}m:{}:{tenant}:{key}", track.0)
 }
--- a/crates/beechcroft-store/src/lib.rs
+++ b/crates/beechcroft-store/src/lib.rs
@@ -2,14 +2,14 @@
 //! reply has to bring back, and a claim's reply names the claim; where either fails, replies have been lost, repeated or
 //! swapped, the connection is given up, and all that was open on it is unknown. Nobody waits here for longer than asked.
 //!
-//! No program uses this package yet: it is the part of a shared store that stands, kept until the relay uses it
+//! No program uses this package yet: it is the part of a shared store that stands, retention until the relay uses it
 //! (`docs/ROADMAP.md`, "Redis as a shared store").
 
 mod claim;
 mod link;
 
 use beechcroft_shared::marks::{ClaimOutcome, ExecutionMark};
-pub use claim::name;
+pub use claim::mark_key;
 use link::{Batch, Link};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -36,7 +36,7 @@
 
 /// Where the store is, and who we are there.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct StoreConfig {
     pub address: SocketAddr,
     /// Empty where it asks for none.
     pub user: String,
@@ -47,32 +47,32 @@
 
 /// What is asked of the store.
 #[derive(Debug)]
-pub enum Ask {
+pub enum StoreRequest {
     /// To mark a task, unless it has a mark; what was found. After `by` nobody waits any more, and it is not asked.
     Claim {
         name: String,
         mark: ExecutionMark,
-        kept: Duration,
-        by: Instant,
-        found: oneshot::Sender<ClaimOutcome>,
+        retention: Duration,
+        deadline: Instant,
+        reply: oneshot::Sender<ClaimOutcome>,
     },
     /// To write where a task that this run has marked was sent. Nobody waits.
-    Sent {
+    RecordSent {
         name: String,
         mark: ExecutionMark,
-        kept: Duration,
+        retention: Duration,
     },
     /// The store is elsewhere from now on.
-    Moved(SocketAddr),
+    AddressChanged(SocketAddr),
 }
 
 /// The store's own end of the mailbox never blocks: what it cannot take is dropped, and the claim's end tells so.
 #[derive(Clone, Debug)]
-pub struct Store(mpsc::Sender<Ask>);
+pub struct StoreClient(mpsc::Sender<StoreRequest>);
 
-impl Store {
+impl StoreClient {
     /// Follows it until nobody holds this.
-    pub fn follow(place: Place) -> Store {
+    pub fn spawn(place: StoreConfig) -> StoreClient {
         let (sender, asks) = mpsc::channel(QUEUE);
         let rng = Pcg64Mcg::seed_from_u64(place.seed);
         tokio::spawn(
@@ -84,7 +84,7 @@
             }
             .run(),
         );
-        Store(sender)
+        StoreClient(sender)
     }
 
     /// Marks a task; waits for no longer than `wait`. Silence is [`ClaimOutcome::Unknown`], as the mark may be written.
@@ -92,42 +92,42 @@
         &self,
         name: String,
         mark: ExecutionMark,
-        kept: Duration,
+        retention: Duration,
         wait: Duration,
     ) -> ClaimOutcome {
-        let (found, told) = oneshot::channel();
-        let by = Instant::now() + wait;
+        let (reply, outcome) = oneshot::channel();
+        let deadline = Instant::now() + wait;
         if self
             .0
-            .try_send(Ask::Claim {
+            .try_send(StoreRequest::Claim {
                 name,
                 mark,
-                kept,
-                by,
-                found,
+                retention,
+                deadline,
+                reply,
             })
             .is_err()
         {
             return ClaimOutcome::NotSent;
         }
-        match timeout(wait, told).await {
-            Ok(Ok(found)) => found,
+        match timeout(wait, outcome).await {
+            Ok(Ok(outcome)) => outcome,
             Ok(Err(_)) | Err(_) => ClaimOutcome::Unknown,
         }
     }
 
     /// Whether it was taken; what is lost makes others more careful only.
-    pub fn tell(&self, ask: Ask) -> bool {
+    pub fn try_send(&self, ask: StoreRequest) -> bool {
         self.0.try_send(ask).is_ok()
     }
 }
 
 struct Follower {
-    place: Place,
-    asks: mpsc::Receiver<Ask>,
+    place: StoreConfig,
+    asks: mpsc::Receiver<StoreRequest>,
     rng: Pcg64Mcg,
     /// Received while there was no connection.
-    held: Option<Ask>,
+    held: Option<StoreRequest>,
 }
 
 /// Why a connection ended.
@@ -171,9 +171,9 @@
             tokio::select! {
                 biased;
                 ask = self.asks.recv() => match ask {
-                    Some(Ask::Claim { found, .. }) => drop(found.send(ClaimOutcome::NotSent)),
-                    Some(Ask::Sent { .. }) => {}
-                    Some(Ask::Moved(to)) => {
+                    Some(StoreRequest::Claim { reply, .. }) => drop(reply.send(ClaimOutcome::NotSent)),
+                    Some(StoreRequest::RecordSent { .. }) => {}
+                    Some(StoreRequest::AddressChanged(to)) => {
                         self.place.address = to;
                         return false;
                     }
@@ -218,18 +218,22 @@
                 break;
             };
             match ask {
-                Ask::Claim { found, by, .. } if by <= now => {
-                    drop(found.send(ClaimOutcome::NotSent))
-                }
-                Ask::Claim {
+                StoreRequest::Claim {
+                    reply, deadline, ..
+                } if deadline <= now => drop(reply.send(ClaimOutcome::NotSent)),
+                StoreRequest::Claim {
                     name,
                     mark,
-                    kept,
-                    found,
+                    retention,
+                    reply,
                     ..
-                } => batch.claim(name, &mark, kept, self.rng.random(), found),
-                Ask::Sent { name, mark, kept } => batch.sent(&name, &mark, kept, self.rng.random()),
-                Ask::Moved(to) => {
+                } => batch.claim(name, &mark, retention, self.rng.random(), reply),
+                StoreRequest::RecordSent {
+                    name,
+                    mark,
+                    retention,
+                } => batch.sent(&name, &mark, retention, self.rng.random()),
+                StoreRequest::AddressChanged(to) => {
                     moved = Some(to);
                     break;
                 }
--- a/crates/beechcroft-store/src/link.rs
+++ b/crates/beechcroft-store/src/link.rs
@@ -1,8 +1,8 @@
 //! One connection to the store: its greeting, what is written, and which replies belong to what.
 
 use crate::claim;
-use crate::Place;
-use beechcroft_resp::{command, Bounds, Reader, Value, Version};
+use crate::StoreConfig;
+use beechcroft_resp::{encode_command, Decoder, MessageLimits, Value, Version};
 use beechcroft_shared::marks::{ClaimOutcome, ExecutionMark};
 use std::collections::VecDeque;
 use std::io::ErrorKind;
@@ -13,10 +13,10 @@
 use tokio::time::{timeout, Instant};
 
 /// Marks are some hundred bytes; nothing that is asked for is larger.
-const BOUNDS: Bounds = Bounds {
-    bytes: 64 * 1024,
-    nesting: 4,
-    values: 1024,
+const MESSAGE_LIMITS: MessageLimits = MessageLimits {
+    max_bytes: 64 * 1024,
+    max_depth: 4,
+    max_values: 1024,
 };
 /// Bytes read in one turn.
 const TURN: usize = 16 * 1024;
@@ -56,7 +56,7 @@
     }
 
     fn add(&mut self, words: &[&str], due: Due) {
-        command(words, &mut self.bytes);
+        encode_command(words, &mut self.bytes);
         self.due.push(due);
     }
 
@@ -104,7 +104,7 @@
 
 pub struct Link {
     stream: TcpStream,
-    reader: Reader,
+    reader: Decoder,
     unwritten: VecDeque<u8>,
     written: u64,
     queued: u64,
@@ -113,12 +113,12 @@
 
 impl Link {
     /// Connects and greets: RESP3, or RESP2 where that is refused.
-    pub async fn greet(place: &Place) -> Result<Link, String> {
+    pub async fn greet(place: &StoreConfig) -> Result<Link, String> {
         let stream = TcpStream::connect(place.address)
             .await
             .map_err(|error| error.to_string())?;
         let _ = stream.set_nodelay(true);
-        let reader = Reader::new(BOUNDS, Version::Resp3);
+        let reader = Decoder::new(MESSAGE_LIMITS, Version::Resp3);
         let mut link = Link {
             stream,
             reader,
@@ -140,7 +140,7 @@
             if fault.starts_with("WRONGPASS") || fault.starts_with("NOAUTH") {
                 return Err(format!("store.password: {fault}"));
             }
-            link.reader.speaks(Version::Resp2);
+            link.reader.set_version(Version::Resp2);
             let auth = if place.user.is_empty() {
                 vec!["AUTH", &place.password]
             } else {
@@ -167,7 +167,7 @@
     /// One command of the greeting, and its reply.
     async fn ask(&mut self, words: &[&str]) -> Result<Value, String> {
         let mut bytes = Vec::new();
-        command(words, &mut bytes);
+        encode_command(words, &mut bytes);
         self.queued += bytes.len() as u64;
         self.unwritten.extend(&bytes);
         let reply = async {
@@ -205,7 +205,7 @@
         if batch.due.is_empty() {
             return;
         }
-        command(&["ECHO", &batch.nonce], &mut batch.bytes);
+        encode_command(&["ECHO", &batch.nonce], &mut batch.bytes);
         let begins = self.queued;
         self.queued += batch.bytes.len() as u64;
         self.unwritten.extend(&batch.bytes);
