--- a/crates/beechcroft-store/src/lib.rs
+++ b/crates/beechcroft-store/src/lib.rs
@@ -1,16 +1,19 @@
-//! Follows a shared store: one connection, pipelined. What is asked goes out in batches, each with a nonce that its last
-//! reply has to bring back, and a claim's reply names the claim; where either fails, replies have been lost, repeated or
-//! swapped, the connection is given up, and all that was open on it is unknown. Nobody waits here for longer than asked.
+//! Client of a shared store that speaks RESP, over one pipelined connection.
 //!
-//! No program uses this package yet: it is the part of a shared store that stands, retention until the relay uses it
+//! Requests go out in batches. Each batch ends with an `ECHO` of a nonce, which its last reply must return, and the
+//! reply to a claim contains the claim's own text. If either check fails, replies were lost, repeated or reordered:
+//! the connection is closed, and the outcome of everything in flight on it is unknown. A caller never waits longer
+//! than it asked to.
+//!
+//! No program uses this package yet: it is the finished part of a shared store, kept until the relay uses it
 //! (`docs/ROADMAP.md`, "Redis as a shared store").
 
 mod claim;
-mod link;
+mod connection;
 
 use beechcroft_shared::marks::{ClaimOutcome, ExecutionMark};
 pub use claim::mark_key;
-use link::{Batch, Link};
+use connection::{Batch, Connection};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
@@ -19,78 +22,91 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use tracing::{info, warn};
 
-/// Asks that wait for a connection or a batch. Past them nothing is asked: whoever would be further back has gone on alone
-/// before his turn came.
-const QUEUE: usize = 1024;
-/// Asks in one batch, so that one slow reply holds up few.
-const BATCH: usize = 64;
-/// Batches open at once; the store's answer to one frees the next.
-const OPEN: usize = 8;
-/// For a connection to come up, and for each reply to its greeting.
-const GREETING: Duration = Duration::from_secs(1);
-/// A batch that is not answered for so long ends the connection: what comes later is of use to nobody.
-const SILENT: Duration = Duration::from_secs(1);
-/// Between connections where one failed: doubled each time, spread by half of it.
-const PAUSE: Duration = Duration::from_millis(50);
-const PAUSE_MOST: Duration = Duration::from_secs(5);
+/// Requests that may wait for a connection or a batch. Further requests are not sent: their callers would have timed
+/// out and continued without the store before their turn came.
+const MAX_QUEUED: usize = 1024;
+/// Requests in one batch; the limit bounds how many requests one slow reply delays.
+const MAX_BATCH: usize = 64;
+/// Batches in flight at once; the next is sent when the store has answered one.
+const MAX_IN_FLIGHT: usize = 8;
+/// Timeout for each reply of the handshake. Connecting and the whole handshake together may take twice as long.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
+/// A connection is closed if its oldest batch has not been answered for this long: no caller waits for a later reply.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
+/// First delay before reconnecting after a failure. It doubles with each failure, up to [`MAX_RECONNECT_DELAY`]; jitter
+/// adds up to half of it.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
+/// Upper limit of the reconnect delay, without jitter.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(5);
 
-/// Where the store is, and who we are there.
+/// Address of the store and the credentials to use there.
 #[derive(Clone, Debug)]
 pub struct StoreConfig {
+    /// Address of the store.
     pub address: SocketAddr,
-    /// Empty where it asks for none.
+    /// Empty for the store's default user.
     pub user: String,
+    /// Empty if the store requires no authentication.
     pub password: String,
+    /// Number of the database to select; 0 needs no `SELECT`.
     pub database: u32,
+    /// Seed of the random numbers for nonces and reconnect jitter.
     pub seed: u64,
 }
 
-/// What is asked of the store.
+/// A request to the store.
 #[derive(Debug)]
 pub enum StoreRequest {
-    /// To mark a task, unless it has a mark; what was found. After `by` nobody waits any more, and it is not asked.
+    /// Sets a task's mark unless it already has one, and reports the outcome to `reply`. Not sent after `deadline`,
+    /// as the caller no longer waits.
     Claim {
-        name: String,
+        /// Store key of the mark, from [`mark_key`].
+        key: String,
         mark: ExecutionMark,
+        /// Time until the mark expires in the store.
         retention: Duration,
         deadline: Instant,
         reply: oneshot::Sender<ClaimOutcome>,
     },
-    /// To write where a task that this run has marked was sent. Nobody waits.
+    /// Records where a task that this incarnation has marked was sent. No reply is reported.
     RecordSent {
-        name: String,
+        /// Store key of the mark, from [`mark_key`].
+        key: String,
         mark: ExecutionMark,
+        /// Time until the mark expires in the store, from this update on.
         retention: Duration,
     },
-    /// The store is elsewhere from now on.
+    /// The store has a new address.
     AddressChanged(SocketAddr),
 }
 
-/// The store's own end of the mailbox never blocks: what it cannot take is dropped, and the claim's end tells so.
+/// Handle of a running client. Queuing a request never blocks: if the queue is full, the request is dropped and a claim
+/// returns [`ClaimOutcome::NotSent`].
 #[derive(Clone, Debug)]
 pub struct StoreClient(mpsc::Sender<StoreRequest>);
 
 impl StoreClient {
-    /// Follows it until nobody holds this.
-    pub fn spawn(place: StoreConfig) -> StoreClient {
-        let (sender, asks) = mpsc::channel(QUEUE);
-        let rng = Pcg64Mcg::seed_from_u64(place.seed);
+    /// Starts the client's task, which runs until all handles are dropped.
+    pub fn spawn(config: StoreConfig) -> StoreClient {
+        let (sender, requests) = mpsc::channel(MAX_QUEUED);
+        let rng = Pcg64Mcg::seed_from_u64(config.seed);
         tokio::spawn(
-            Follower {
-                place,
-                asks,
+            Worker {
+                config,
+                requests,
                 rng,
-                held: None,
+                pending: None,
             }
             .run(),
         );
         StoreClient(sender)
     }
 
-    /// Marks a task; waits for no longer than `wait`. Silence is [`ClaimOutcome::Unknown`], as the mark may be written.
+    /// Claims a task; waits no longer than `wait`. Without a reply in that time the outcome is
+    /// [`ClaimOutcome::Unknown`], as the mark may have been written.
     pub async fn claim(
         &self,
-        name: String,
+        key: String,
         mark: ExecutionMark,
         retention: Duration,
         wait: Duration,
@@ -100,7 +116,7 @@
         if self
             .0
             .try_send(StoreRequest::Claim {
-                name,
+                key,
                 mark,
                 retention,
                 deadline,
@@ -116,48 +132,55 @@
         }
     }
 
-    /// Whether it was taken; what is lost makes others more careful only.
-    pub fn try_send(&self, ask: StoreRequest) -> bool {
-        self.0.try_send(ask).is_ok()
+    /// Queues a request without waiting for its result; returns whether it was queued. A lost request only makes other
+    /// relays more cautious.
+    pub fn try_send(&self, request: StoreRequest) -> bool {
+        self.0.try_send(request).is_ok()
     }
 }
 
-struct Follower {
-    place: StoreConfig,
-    asks: mpsc::Receiver<StoreRequest>,
+/// The task that owns the connection.
+struct Worker {
+    config: StoreConfig,
+    requests: mpsc::Receiver<StoreRequest>,
     rng: Pcg64Mcg,
-    /// Received while there was no connection.
-    held: Option<StoreRequest>,
+    /// Received from the queue, and not yet put into a batch.
+    pending: Option<StoreRequest>,
 }
 
 /// Why a connection ended.
-enum Ended {
-    Broken(String),
-    Moved,
-    Over,
+enum Disconnect {
+    /// The connection failed, for this reason.
+    Failed(String),
+    /// The store has a new address.
+    AddressChanged,
+    /// All handles were dropped.
+    Shutdown,
 }
 
-impl Follower {
+impl Worker {
     async fn run(mut self) {
-        let mut pause = PAUSE;
+        let mut delay = RECONNECT_DELAY;
         loop {
-            let greeted = timeout(GREETING * 2, Link::greet(&self.place)).await;
-            let ended = match greeted.unwrap_or_else(|_| Err("no greeting in time".to_owned())) {
-                Ok(link) => {
-                    info!(part = "store", address = %self.place.address, "store: connected to {}", self.place.address);
-                    pause = PAUSE;
-                    self.serve(link).await
+            let connected = timeout(HANDSHAKE_TIMEOUT * 2, Connection::open(&self.config)).await;
+            let disconnect = match connected
+                .unwrap_or_else(|_| Err("connecting and the handshake timed out".to_owned()))
+            {
+                Ok(connection) => {
+                    info!(part = "store", address = %self.config.address, "store: connected to {}", self.config.address);
+                    delay = RECONNECT_DELAY;
+                    self.serve(connection).await
                 }
-                Err(why) => Ended::Broken(why),
+                Err(reason) => Disconnect::Failed(reason),
             };
-            match ended {
-                Ended::Over => return,
-                Ended::Moved => pause = PAUSE,
-                Ended::Broken(why) => {
-                    warn!(part = "store", address = %self.place.address, reason = why, "store: {}: {why}", self.place.address);
-                    let spread = pause.mul_f64(1.0 + self.rng.random::<f64>() / 2.0);
-                    pause = (pause * 2).min(PAUSE_MOST);
-                    if self.idle_until(Instant::now() + spread).await {
+            match disconnect {
+                Disconnect::Shutdown => return,
+                Disconnect::AddressChanged => delay = RECONNECT_DELAY,
+                Disconnect::Failed(reason) => {
+                    warn!(part = "store", address = %self.config.address, reason, "store: connection to {} failed: {reason}", self.config.address);
+                    let with_jitter = delay.mul_f64(1.0 + self.rng.random::<f64>() / 2.0);
+                    delay = (delay * 2).min(MAX_RECONNECT_DELAY);
+                    if self.wait_disconnected(Instant::now() + with_jitter).await {
                         return;
                     }
                 }
@@ -165,16 +188,17 @@
         }
     }
 
-    /// Without a connection: what is asked is told at once that it is not. Whether all is over.
-    async fn idle_until(&mut self, until: Instant) -> bool {
+    /// Waits without a connection: claims are answered [`ClaimOutcome::NotSent`] at once. Returns whether all handles
+    /// were dropped.
+    async fn wait_disconnected(&mut self, until: Instant) -> bool {
         loop {
             tokio::select! {
                 biased;
-                ask = self.asks.recv() => match ask {
+                request = self.requests.recv() => match request {
                     Some(StoreRequest::Claim { reply, .. }) => drop(reply.send(ClaimOutcome::NotSent)),
                     Some(StoreRequest::RecordSent { .. }) => {}
-                    Some(StoreRequest::AddressChanged(to)) => {
-                        self.place.address = to;
+                    Some(StoreRequest::AddressChanged(address)) => {
+                        self.config.address = address;
                         return false;
                     }
                     None => return true,
@@ -184,66 +208,75 @@
         }
     }
 
-    async fn serve(&mut self, mut link: Link) -> Ended {
+    /// Sends requests and handles replies until the connection ends.
+    async fn serve(&mut self, mut connection: Connection) -> Disconnect {
         loop {
-            let silent = link.waits_since().map(|since| since + SILENT);
+            let reply_deadline = connection
+                .oldest_sent_at()
+                .map(|sent_at| sent_at + REPLY_TIMEOUT);
             tokio::select! {
                 biased;
-                ready = link.ready() => if let Err(why) = ready.and_then(|()| link.go_on()) {
-                    return Ended::Broken(why);
+                ready = connection.ready() => if let Err(reason) = ready.and_then(|()| connection.process()) {
+                    return Disconnect::Failed(reason);
                 },
-                () = sleep_until(silent.unwrap_or_else(Instant::now)), if silent.is_some() => {
-                    return Ended::Broken(format!("silent for {SILENT:?}"));
+                () = sleep_until(reply_deadline.unwrap_or_else(Instant::now)), if reply_deadline.is_some() => {
+                    return Disconnect::Failed(format!("no reply for {REPLY_TIMEOUT:?}"));
                 }
-                ask = self.asks.recv(), if link.open() < OPEN => match ask {
-                    Some(ask) => {
-                        self.held = Some(ask);
-                        if let Some(ended) = self.batch(&mut link) {
-                            return ended;
+                request = self.requests.recv(), if connection.in_flight() < MAX_IN_FLIGHT => match request {
+                    Some(request) => {
+                        self.pending = Some(request);
+                        if let Some(disconnect) = self.send_batch(&mut connection) {
+                            return disconnect;
                         }
                     }
-                    None => return Ended::Over,
+                    None => return Disconnect::Shutdown,
                 },
             }
         }
     }
 
-    /// Puts all that waits into one batch, but what nobody waits for any more.
-    fn batch(&mut self, link: &mut Link) -> Option<Ended> {
+    /// Sends the queued requests as one batch, without claims whose deadline has passed. Returns a reason to close the
+    /// connection, if there is one.
+    fn send_batch(&mut self, connection: &mut Connection) -> Option<Disconnect> {
         let mut batch = Batch::new(self.rng.random());
         let now = Instant::now();
-        let mut moved = None;
-        while batch.len() < BATCH {
-            let Some(ask) = self.held.take().or_else(|| self.asks.try_recv().ok()) else {
+        let mut new_address = None;
+        while batch.len() < MAX_BATCH {
+            let Some(request) = self
+                .pending
+                .take()
+                .or_else(|| self.requests.try_recv().ok())
+            else {
                 break;
             };
-            match ask {
+            match request {
                 StoreRequest::Claim {
                     reply, deadline, ..
                 } if deadline <= now => drop(reply.send(ClaimOutcome::NotSent)),
                 StoreRequest::Claim {
-                    name,
+                    key,
                     mark,
                     retention,
                     reply,
                     ..
-                } => batch.claim(name, &mark, retention, self.rng.random(), reply),
+                } => batch.claim(key, &mark, retention, self.rng.random(), reply),
                 StoreRequest::RecordSent {
-                    name,
+                    key,
                     mark,
                     retention,
-                } => batch.sent(&name, &mark, retention, self.rng.random()),
-                StoreRequest::AddressChanged(to) => {
-                    moved = Some(to);
+                } => batch.record_sent(&key, &mark, retention, self.rng.random()),
+                StoreRequest::AddressChanged(address) => {
+                    new_address = Some(address);
                     break;
                 }
             }
         }
-        link.send(batch);
-        // What is open on the old connection is unknown, whatever becomes of it.
-        moved.map(|to| {
-            self.place.address = to;
-            Ended::Moved
+        connection.send(batch);
+        // The outcome of what was written to the old connection stays unknown, whatever the old store does with it;
+        // dropping the connection reports that.
+        new_address.map(|address| {
+            self.config.address = address;
+            Disconnect::AddressChanged
         })
     }
 }
