--- a/crates/beechcroft-resp/src/lib.rs
+++ b/crates/beechcroft-resp/src/lib.rs
@@ -1,8 +1,11 @@
-//! RESP2 and RESP3, for both sides of a connection. Messages are cut out of the stream by a scanner that goes on where it
-//! stopped and keeps to bounds, so that neither a deep nor a huge message costs more than it may; a whole message is then
-//! decoded by `redis-protocol` into a small [`Value`]. Source: the published RESP specification.
+//! Codec for RESP2 and RESP3, for both the client and the server of a connection; used by the store client and the fake
+//! store.
 //!
-//! No program uses this package yet: it is the part of a shared store that stands, kept until the relay uses it
+//! An incremental scanner finds the end of each message in the stream and enforces limits, so that neither a deeply
+//! nested nor a very large message can use more memory or time than allowed. A complete message is then decoded by
+//! `redis-protocol` into a small [`Value`]. Source: the published RESP specification.
+//!
+//! No program uses this package yet: it is the finished part of a shared store, kept until the relay uses it
 //! (`docs/ROADMAP.md`, "Redis as a shared store").
 
 mod scan;
@@ -13,52 +16,58 @@
 use scan::Scan;
 use std::fmt;
 
-/// What a message may be at most.
+/// Upper limits of one message.
 #[derive(Clone, Copy, Debug)]
 pub struct MessageLimits {
-    /// Bytes of a message, with all that is in it.
+    /// Encoded size of the message in bytes, including all nested values.
     pub max_bytes: usize,
-    /// Lists within lists.
+    /// Nesting depth of lists, maps and other aggregates.
     pub max_depth: usize,
-    /// Values in a message, however nested.
+    /// Number of values in the message, at all depths.
     pub max_values: usize,
 }
 
-/// Which protocol a connection has agreed on.
+/// The protocol version of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
     Resp2,
     Resp3,
 }
 
-/// A message or a part of one. Attributes are passed over.
+/// A message or a part of one. Attributes are skipped.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
+    /// Null.
     Nothing,
+    /// A simple, bulk or verbatim string, or a big number.
     Text(Bytes),
+    /// A 64-bit integer.
     Number(i64),
     Double(f64),
+    /// A boolean.
     Flag(bool),
-    /// An error: its whole line, which begins with a word for its kind.
+    /// An error reply: its full text, which begins with an error code such as `WRONGTYPE`.
     Fault(String),
+    /// An array or a set.
     List(Vec<Value>),
     Map(Vec<(Value, Value)>),
-    /// Sent unasked, between replies.
+    /// An out-of-band message that the server sends between replies.
     Push(Vec<Value>),
 }
 
-/// What cannot be read; nothing behind it on its connection can be believed.
+/// Why a message cannot be decoded. The rest of the stream has no known message boundaries, so the connection must be
+/// closed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// Longer, deeper or of more values than the bounds allow.
+    /// The message exceeds a limit; names what there is too much of.
     LimitExceeded(&'static str),
-    /// Not RESP.
-    UnknownType {
-        byte: u8,
-    },
+    /// The first byte of a message or value is not a RESP type.
+    UnknownType { byte: u8 },
+    /// The text in place of a length is not a valid one.
     InvalidLength(String),
-    /// RESP3's streamed strings and lists, which are not taken.
+    /// A streamed string or aggregate of RESP3, which this package does not support.
     Streamed,
+    /// Any other error, with its description.
     Other(String),
 }
 
@@ -80,54 +89,57 @@
 
 impl std::error::Error for DecodeError {}
 
-/// Cuts messages out of what a connection brings.
+/// Splits the byte stream of a connection into messages and decodes them.
 #[derive(Debug)]
 pub struct Decoder {
     buffer: BytesMut,
     scan: Scan,
-    bounds: MessageLimits,
+    limits: MessageLimits,
     version: Version,
 }
 
 impl Decoder {
-    /// Of a connection that speaks this version from here on.
-    pub fn new(bounds: MessageLimits, version: Version) -> Decoder {
+    /// A decoder for a connection that uses `version` from its first byte.
+    pub fn new(limits: MessageLimits, version: Version) -> Decoder {
         Decoder {
             buffer: BytesMut::new(),
             scan: Scan::default(),
-            bounds,
+            limits,
             version,
         }
     }
 
-    /// What follows is of this version: to be told before the reply to `HELLO` is read, which is of the version asked for.
+    /// Sets the version of the following messages. Call this before the reply to `HELLO` is decoded: it is already
+    /// encoded in the requested version.
     pub fn set_version(&mut self, version: Version) {
         self.version = version;
     }
 
+    /// Appends received bytes to the buffer.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes that were fed and not yet given out.
+    /// Number of bytes that were fed and not yet returned as messages.
     pub fn buffered_len(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next message that is whole. After an error the connection is of no further use.
+    /// The next complete message, or `None` if more bytes are needed. After an error the connection must be closed.
     pub fn next_message(&mut self) -> Result<Option<Value>, DecodeError> {
-        let Some(length) = self.scan.go_on(&self.buffer, self.bounds)? else {
+        let Some(length) = self.scan.advance(&self.buffer, self.limits)? else {
             return Ok(None);
         };
         self.scan = Scan::default();
-        let whole = self.buffer.split_to(length).freeze();
+        let message = self.buffer.split_to(length).freeze();
         let decoded = match self.version {
-            Version::Resp2 => resp2::decode::decode_bytes(&whole)
-                .map(|got| got.map(|(frame, used)| (value2(frame), used))),
+            Version::Resp2 => resp2::decode::decode_bytes(&message)
+                .map(|decoded| decoded.map(|(frame, used)| (from_resp2(frame), used))),
             Version::Resp3 => {
-                let got = resp3::decode::complete::decode_bytes(&whole);
-                got.and_then(|got| {
-                    got.map(|(frame, used)| Ok((value3(frame), used)))
+                let decoded = resp3::decode::complete::decode_bytes(&message);
+                decoded.and_then(|decoded| {
+                    decoded
+                        .map(|(frame, used)| Ok((from_resp3(frame), used)))
                         .transpose()
                 })
             }
@@ -135,28 +147,30 @@
         match decoded {
             Ok(Some((value, used))) if used == length => value.map(Some),
             Ok(_) => Err(DecodeError::Other(
-                "a message that ends elsewhere than it says".to_owned(),
+                "scanned and decoded message lengths differ".to_owned(),
             )),
             Err(error) => Err(DecodeError::Other(error.to_string())),
         }
     }
 }
 
-fn value2(frame: Frame2) -> Result<Value, DecodeError> {
+fn from_resp2(frame: Frame2) -> Result<Value, DecodeError> {
     Ok(match frame {
         Frame2::SimpleString(data) | Frame2::BulkString(data) => Value::Text(data),
         Frame2::Error(data) => Value::Fault(data.to_string()),
         Frame2::Integer(data) => Value::Number(data),
-        Frame2::Array(data) => Value::List(data.into_iter().map(value2).collect::<Result<_, _>>()?),
+        Frame2::Array(data) => {
+            Value::List(data.into_iter().map(from_resp2).collect::<Result<_, _>>()?)
+        }
         Frame2::Null => Value::Nothing,
     })
 }
 
-fn value3(frame: Frame3) -> Result<Value, DecodeError> {
-    let all = |frames: Vec<Frame3>| {
+fn from_resp3(frame: Frame3) -> Result<Value, DecodeError> {
+    let convert_all = |frames: Vec<Frame3>| {
         frames
             .into_iter()
-            .map(value3)
+            .map(from_resp3)
             .collect::<Result<Vec<_>, _>>()
     };
     Ok(match frame {
@@ -170,72 +184,74 @@
         Frame3::Boolean { data, .. } => Value::Flag(data),
         Frame3::Number { data, .. } => Value::Number(data),
         Frame3::Double { data, .. } => Value::Double(data),
-        Frame3::Array { data, .. } => Value::List(all(data)?),
-        Frame3::Push { data, .. } => Value::Push(all(data)?),
-        Frame3::Set { data, .. } => Value::List(all(data.into_iter().collect())?),
+        Frame3::Array { data, .. } => Value::List(convert_all(data)?),
+        Frame3::Push { data, .. } => Value::Push(convert_all(data)?),
+        Frame3::Set { data, .. } => Value::List(convert_all(data.into_iter().collect())?),
         Frame3::Map { data, .. } => {
             let pairs = data
                 .into_iter()
-                .map(|(key, held)| Ok((value3(key)?, value3(held)?)));
+                .map(|(key, value)| Ok((from_resp3(key)?, from_resp3(value)?)));
             Value::Map(pairs.collect::<Result<_, _>>()?)
         }
         Frame3::Hello { .. } => {
-            return Err(DecodeError::Other(
-                "HELLO as a message of its own".to_owned(),
-            ))
+            return Err(DecodeError::Other("unexpected HELLO frame".to_owned()))
         }
         Frame3::ChunkedString(_) => return Err(DecodeError::Streamed),
     })
 }
 
-/// A command, as both versions write it: a list of strings.
-pub fn encode_command<T: AsRef<[u8]>>(words: &[T], to: &mut Vec<u8>) {
-    to.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
-    words.iter().for_each(|word| text(word.as_ref(), to));
+/// Appends a command to `output`: a list of bulk strings, which is the same in both versions.
+pub fn encode_command<T: AsRef<[u8]>>(args: &[T], output: &mut Vec<u8>) {
+    output.extend_from_slice(format!("*{}\r\n", args.len()).as_bytes());
+    args.iter()
+        .for_each(|arg| encode_bulk_string(arg.as_ref(), output));
 }
 
-fn text(text: &[u8], to: &mut Vec<u8>) {
-    to.extend_from_slice(format!("${}\r\n", text.len()).as_bytes());
-    to.extend_from_slice(text);
-    to.extend_from_slice(b"\r\n");
+fn encode_bulk_string(text: &[u8], output: &mut Vec<u8>) {
+    output.extend_from_slice(format!("${}\r\n", text.len()).as_bytes());
+    output.extend_from_slice(text);
+    output.extend_from_slice(b"\r\n");
 }
 
-/// A reply. RESP2 has no maps, flags, doubles and pushes: they are written as it writes them, a push not at all.
-pub fn encode_value(value: &Value, version: Version, to: &mut Vec<u8>) {
-    let three = version == Version::Resp3;
-    let mut line = |text: String| to.extend_from_slice(text.as_bytes());
+/// Appends a reply to `output`. RESP2 has no maps, booleans, doubles and push messages: a map is written as a flat
+/// list, a boolean as an integer, a double as a string, and a push message is omitted.
+pub fn encode_value(value: &Value, version: Version, output: &mut Vec<u8>) {
+    let is_resp3 = version == Version::Resp3;
+    let mut line = |text: String| output.extend_from_slice(text.as_bytes());
     match value {
-        Value::Nothing if three => line("_\r\n".to_owned()),
+        Value::Nothing if is_resp3 => line("_\r\n".to_owned()),
         Value::Nothing => line("$-1\r\n".to_owned()),
         Value::Number(number) => line(format!(":{number}\r\n")),
-        Value::Flag(flag) if three => line(format!("#{}\r\n", if *flag { 't' } else { 'f' })),
+        Value::Flag(flag) if is_resp3 => line(format!("#{}\r\n", if *flag { 't' } else { 'f' })),
         Value::Flag(flag) => line(format!(":{}\r\n", u8::from(*flag))),
-        Value::Double(number) if three => line(format!(",{number}\r\n")),
-        Value::Double(number) => text(number.to_string().as_bytes(), to),
-        // A line break would end it early, and what follows would be read as another message.
-        Value::Fault(what) => line(format!("-{}\r\n", what.replace(['\r', '\n'], " "))),
-        Value::Text(bytes) => text(bytes, to),
-        Value::List(all) => {
-            line(format!("*{}\r\n", all.len()));
-            all.iter()
-                .for_each(|value| encode_value(value, version, to));
+        Value::Double(number) if is_resp3 => line(format!(",{number}\r\n")),
+        Value::Double(number) => encode_bulk_string(number.to_string().as_bytes(), output),
+        // A line break would end the error early, and the rest would be decoded as another message.
+        Value::Fault(fault) => line(format!("-{}\r\n", fault.replace(['\r', '\n'], " "))),
+        Value::Text(bytes) => encode_bulk_string(bytes, output),
+        Value::List(items) => {
+            line(format!("*{}\r\n", items.len()));
+            items
+                .iter()
+                .for_each(|value| encode_value(value, version, output));
         }
-        Value::Push(all) if three => {
-            line(format!(">{}\r\n", all.len()));
-            all.iter()
-                .for_each(|value| encode_value(value, version, to));
+        Value::Push(items) if is_resp3 => {
+            line(format!(">{}\r\n", items.len()));
+            items
+                .iter()
+                .for_each(|value| encode_value(value, version, output));
         }
         Value::Push(_) => {}
         Value::Map(pairs) => {
-            line(if three {
+            line(if is_resp3 {
                 format!("%{}\r\n", pairs.len())
             } else {
                 format!("*{}\r\n", pairs.len() * 2)
             });
             pairs
                 .iter()
-                .flat_map(|(key, held)| [key, held])
-                .for_each(|value| encode_value(value, version, to));
+                .flat_map(|(key, value)| [key, value])
+                .for_each(|value| encode_value(value, version, output));
         }
     }
 }
--- a/crates/beechcroft-resp/src/scan.rs
+++ b/crates/beechcroft-resp/src/scan.rs
@@ -1,129 +1,133 @@
-//! Finds where a message ends, without recursion and without looking at a byte twice, however it is cut.
+//! Finds the end of a message without recursion, in any fragmentation of the stream, and without searching a byte for
+//! line ends twice, except the few bytes of a line that are parsed again with the next input. Used by the decoder.
 
 use crate::{DecodeError, MessageLimits};
 
-/// The longest line: a length, a number, or a simple string.
-const LINE_MAX: usize = 4096;
+/// Maximum length in bytes of a line: a length, a number, or a simple string.
+const MAX_LINE_BYTES: usize = 4096;
 
-/// How far a message was looked through.
+/// Progress of the scan through one message.
 #[derive(Debug, Default)]
 pub struct Scan {
-    /// Up to here it was understood.
-    at: usize,
-    /// Up to here no line's end was found.
-    looked: usize,
-    /// What is still to come in each list that is open, the outermost first.
-    open: Vec<usize>,
-    begun: bool,
+    /// Offset up to which values were recognized.
+    offset: usize,
+    /// Offset up to which there is no line end after `offset`.
+    searched: usize,
+    /// Number of values still expected in each open aggregate, the outermost first.
+    remaining: Vec<usize>,
+    /// Whether the first value was recognized.
+    started: bool,
+    /// Values so far, including those announced by the open aggregates.
     values: usize,
 }
 
 impl Scan {
-    /// The length of the message that the bytes begin with, once it is whole.
-    pub fn go_on(
+    /// The length of the message at the start of `bytes`, or `None` if it is incomplete. Each call for the same
+    /// message must pass the same bytes, with those received since appended.
+    pub fn advance(
         &mut self,
         bytes: &[u8],
-        bounds: MessageLimits,
+        limits: MessageLimits,
     ) -> Result<Option<usize>, DecodeError> {
         loop {
-            if self.begun && self.open.is_empty() {
-                return Ok(Some(self.at));
+            if self.started && self.remaining.is_empty() {
+                return Ok(Some(self.offset));
             }
-            // What comes next begins with a line.
-            let from = self.at.max(self.looked);
+            // The next value begins with a line.
+            let start = self.offset.max(self.searched);
             let Some(end) = bytes
-                .get(from..)
+                .get(start..)
                 .and_then(|rest| rest.windows(2).position(|pair| pair == b"\r\n"))
             else {
-                // The last byte may be the first half of a line's end.
-                self.looked = self.at.max(bytes.len().saturating_sub(1));
-                if bytes.len() - self.at > LINE_MAX {
+                // The last byte may be the first half of a line end.
+                self.searched = self.offset.max(bytes.len().saturating_sub(1));
+                if bytes.len() - self.offset > MAX_LINE_BYTES {
                     return Err(DecodeError::LimitExceeded("bytes in a line"));
                 }
-                return within(bytes.len(), bounds).map(|()| None);
+                return check_size(bytes.len(), limits).map(|()| None);
             };
-            let end = from + end;
-            if end - self.at > LINE_MAX {
+            let end = start + end;
+            if end - self.offset > MAX_LINE_BYTES {
                 return Err(DecodeError::LimitExceeded("bytes in a line"));
             }
-            let line = &bytes[self.at..end];
-            let after = end + 2;
+            let line = &bytes[self.offset..end];
+            let next = end + 2;
             let Some((&kind, rest)) = line.split_first() else {
                 return Err(DecodeError::UnknownType { byte: b'\r' });
             };
-            let (end_at, holds) = match kind {
-                b'+' | b'-' | b':' | b'_' | b'#' | b',' | b'(' => (after, 0),
-                b'$' | b'!' | b'=' => match length(rest)? {
+            let (value_end, children) = match kind {
+                b'+' | b'-' | b':' | b'_' | b'#' | b',' | b'(' => (next, 0),
+                b'$' | b'!' | b'=' => match parse_length(rest)? {
                     Some(length) => (
-                        after
-                            .checked_add(length + 2)
+                        next.checked_add(length + 2)
                             .ok_or(DecodeError::LimitExceeded("bytes"))?,
                         0,
                     ),
-                    None => (after, 0),
+                    None => (next, 0),
                 },
-                b'*' | b'~' | b'>' => (after, length(rest)?.unwrap_or(0)),
+                b'*' | b'~' | b'>' => (next, parse_length(rest)?.unwrap_or(0)),
                 b'%' | b'|' => (
-                    after,
-                    length(rest)?
+                    next,
+                    parse_length(rest)?
                         .unwrap_or(0)
                         .checked_mul(2)
                         .ok_or(DecodeError::LimitExceeded("values"))?,
                 ),
                 byte => return Err(DecodeError::UnknownType { byte }),
             };
-            within(end_at, bounds)?;
-            if bytes.len() < end_at {
-                // The line is read again with the rest: a few bytes.
-                self.looked = self.at;
+            check_size(value_end, limits)?;
+            if bytes.len() < value_end {
+                // The line, a few bytes, is parsed again once the rest has arrived.
+                self.searched = self.offset;
                 return Ok(None);
             }
-            self.at = end_at;
-            self.looked = end_at;
-            self.begun = true;
-            self.values = self.values.saturating_add(1).saturating_add(holds);
-            if self.values > bounds.max_values {
+            self.offset = value_end;
+            self.searched = value_end;
+            self.started = true;
+            self.values = self.values.saturating_add(1).saturating_add(children);
+            if self.values > limits.max_values {
                 return Err(DecodeError::LimitExceeded("values"));
             }
-            // An attribute stands before the value that it belongs to, and is none itself.
+            // An attribute precedes the value that it belongs to and is not a value itself: it stays open for that
+            // value.
             if kind == b'|' {
-                self.open.push(holds + 1);
-                if self.open.len() > 1 {
-                    self.take_one_of_parent();
+                self.remaining.push(children + 1);
+                if self.remaining.len() > 1 {
+                    self.count_in_parent();
                 }
             } else {
-                if let Some(left) = self.open.last_mut() {
-                    *left -= 1;
+                if let Some(remaining) = self.remaining.last_mut() {
+                    *remaining -= 1;
                 }
-                if holds > 0 {
-                    self.open.push(holds);
+                if children > 0 {
+                    self.remaining.push(children);
                 }
             }
-            if self.open.len() > bounds.max_depth {
+            if self.remaining.len() > limits.max_depth {
                 return Err(DecodeError::LimitExceeded("lists in lists"));
             }
-            while self.open.last() == Some(&0) {
-                self.open.pop();
+            while self.remaining.last() == Some(&0) {
+                self.remaining.pop();
             }
         }
     }
 
-    /// The value behind an attribute is counted with the attribute.
-    fn take_one_of_parent(&mut self) {
-        let parent = self.open.len() - 2;
-        self.open[parent] -= 1;
+    /// Counts an attribute and the value after it as one value of the enclosing aggregate.
+    fn count_in_parent(&mut self) {
+        let parent = self.remaining.len() - 2;
+        self.remaining[parent] -= 1;
     }
 }
 
-fn within(length: usize, bounds: MessageLimits) -> Result<(), DecodeError> {
-    if length > bounds.max_bytes {
+fn check_size(length: usize, limits: MessageLimits) -> Result<(), DecodeError> {
+    if length > limits.max_bytes {
         return Err(DecodeError::LimitExceeded("bytes"));
     }
     Ok(())
 }
 
-/// A length; none where it says that there is nothing (`-1`).
-fn length(text: &[u8]) -> Result<Option<usize>, DecodeError> {
+/// Parses the length of a string or aggregate; `None` for `-1`, which encodes null.
+fn parse_length(text: &[u8]) -> Result<Option<usize>, DecodeError> {
     if text == b"?" {
         return Err(DecodeError::Streamed);
     }
