--- a/crates/beechcroft-fakes/src/lib.rs
+++ b/crates/beechcroft-fakes/src/lib.rs
@@ -1,4 +1,4 @@
-//! Scripted peers, for tests and the lab. They speak the published protocols as far as the project uses them, and go wrong as
-//! they are told.
+//! Fake servers for tests and the lab. They implement the published protocols as far as the project uses them, and
+//! inject faults by script.
 
 pub mod store;
