--- a/crates/beechcroft-store/src/claim.rs
+++ b/crates/beechcroft-store/src/claim.rs
@@ -9,8 +9,8 @@
 use beechcroft_shared::RelayIncarnation;
 use std::time::Duration;
 
-/// Format version of the mark. A mark with another version is not accepted, so it never permits its task: the outcome
-/// of the claim that finds it is unknown.
+/// Format version of the mark. A mark with another version is invalid: the claim that finds it is not granted, its
+/// outcome is unknown, and the connection is closed.
 const FORMAT_VERSION: &str = "1";
 
 /// The store key of a task's mark: the operator's prefix, then track, tenant and idempotency key. Two tracks may use
