--- a/crates/beechcroft-lab/src/probe.rs
+++ b/crates/beechcroft-lab/src/probe.rs
@@ -1,9 +1,9 @@
 //! What is read off a process: memory, time on the processor, the allocator's own count.
 
-use beechcroft_relay::life::command::Files;
-use beechcroft_relay::life::config::Holds;
-use beechcroft_relay::life::logs::{self, Format};
-use beechcroft_relay::life::{run, signals::Signals};
+use beechcroft_relay::lifecycle::command::Files;
+use beechcroft_relay::lifecycle::config::Precedence;
+use beechcroft_relay::lifecycle::logs::{self, Format};
+use beechcroft_relay::lifecycle::{run, signals::Signals};
 use std::path::Path;
 use std::time::Duration;
 
@@ -89,19 +89,19 @@
     let runtime = runtime.map_err(|error| format!("runtime: {error}"))?;
     let signals = {
         let _entered = runtime.enter();
-        Signals::take().map_err(|error| format!("signals: {error}"))?
+        Signals::install().map_err(|error| format!("signals: {error}"))?
     };
-    let _lines = logs::begin(Format::Text);
+    let _lines = logs::init(Format::Text);
     let files = Files {
         config: Some(config.to_owned()),
         operator: Some(operator.to_owned()),
     };
-    let (read, operator) = (files.config(Holds::File)?, files.operator()?);
+    let (read, operator) = (files.config(Precedence::File)?, files.operator()?);
     std::thread::spawn(|| loop {
         println!("{}", allocated());
         std::thread::sleep(SAYS);
     });
     runtime.block_on(run::run(read, operator, signals, || {
-        files.config(Holds::File)
+        files.config(Precedence::File)
     }))
 }
--- a/crates/beechcroft-relay/src/lib.rs
+++ b/crates/beechcroft-relay/src/lib.rs
@@ -1,6 +1,10 @@
-//! A relay on real sockets around beechcroft's decisions: `wire` speaks with others, `memory` keeps what is held
-//! while it runs, `life` is start and stop. `docs/design.md` tells how the parts fit.
+//! The relay as a network service around the decisions of the `beechcroft` package: `wire` holds the connections to
+//! clients, units, discovery, the platform and the other relays, `membership` follows the list of units, `lifecycle`
+//! starts and stops the process. `docs/design.md` describes how the parts fit together.
 
-pub mod life;
-pub mod memory;
+/// Command line, configuration, logging, phases and signals.
+pub mod lifecycle;
+/// The list of units, as discovery reports it.
+pub mod membership;
+/// Protocols and sockets, one module for each kind of peer.
 pub mod wire;
--- a/crates/beechcroft-relay/src/life/command.rs
+++ b/crates/beechcroft-relay/src/lifecycle/command.rs
@@ -1,8 +1,8 @@
-//! The command line. `beechcroft` alone is one relay, configured by `PROXY_CONFIG`.
+//! The command line. `beechcroft` without a subcommand runs one relay, configured by `PROXY_CONFIG`.
 
-use crate::life::config::{self, Config, Holds};
-use crate::life::logs::Format;
-use crate::wire::budget::{limits, Budget};
+use crate::lifecycle::config::{self, Config, Precedence};
+use crate::lifecycle::logs::Format;
+use crate::wire::limits::{connection_limits, Budget};
 use beechcroft_operator::table::KeyInfo;
 use beechcroft_operator::OperatorConfig;
 use clap::{Args, Parser, Subcommand};
@@ -19,25 +19,27 @@
   beechcroft explain connections.keep_s"
 )]
 pub struct Command {
+    /// The subcommand; none runs a relay.
     #[command(subcommand)]
-    pub what: Option<What>,
+    pub action: Option<Action>,
 }
 
+/// What the program is to do.
 #[derive(Subcommand, Debug)]
-pub enum What {
-    /// Runs a relay, as `beechcroft` alone does.
+pub enum Action {
+    /// Runs a relay, as `beechcroft` does without a subcommand.
     #[command(after_help = "Examples:
   beechcroft relay --config relay.json
   RUST_LOG=warn beechcroft relay --config relay.json --operator operator.toml --log-format json
 
 SIGHUP has the configuration read again, SIGTERM has the relay answer what it holds and exit.")]
     Relay(Relay),
-    /// Reads both files and says what would hold; exits with 1 and the key at fault where one cannot be taken.
+    /// Reads both files and prints the effective values; exits with 1 and the key at fault if a file is invalid.
     #[command(after_help = "Examples:
   beechcroft check --config relay.json
   beechcroft check --config relay.json --operator operator.toml --json")]
     Check(Check),
-    /// Says what a key of the operator's file means; without one, lists them all.
+    /// Explains a key of the operator's file; without a key, lists them all.
     #[command(after_help = "Examples:
   beechcroft explain
   beechcroft explain connections
@@ -48,57 +50,62 @@
     },
 }
 
+/// The files that a command reads.
 #[derive(Args, Debug, Default)]
 pub struct Files {
-    /// The configuration, JSON; else the file that PROXY_CONFIG names.
+    /// Configuration file, JSON; defaults to the file that PROXY_CONFIG names.
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// What this installation turns on beside it, TOML; nothing without.
+    /// Operator's file with the optional features of this installation, TOML; none are enabled without it.
     #[arg(long, value_name = "FILE")]
     pub operator: Option<PathBuf>,
 }
 
+/// Arguments of `beechcroft relay`.
 #[derive(Args, Debug)]
 pub struct Relay {
     #[command(flatten)]
     pub files: Files,
-    /// How log lines are written on standard error.
+    /// Format of the log lines on standard error.
     #[arg(long, value_name = "FORMAT", default_value = "text")]
     pub log_format: Format,
 }
 
+/// Arguments of `beechcroft check`.
 #[derive(Args, Debug)]
 pub struct Check {
     #[command(flatten)]
     pub files: Files,
-    /// One JSON object instead of a table.
+    /// Prints one JSON object instead of a table.
     #[arg(long)]
     pub json: bool,
 }
 
 impl Command {
-    /// What is to be run, if it is a relay.
-    pub fn relay(self) -> Result<Relay, What> {
-        match self.what {
+    /// The arguments of the relay to run; `Err` with the action if it is another one.
+    pub fn relay(self) -> Result<Relay, Action> {
+        match self.action {
             None => Ok(Relay {
                 files: Files::default(),
                 log_format: Format::Text,
             }),
-            Some(What::Relay(relay)) => Ok(relay),
-            Some(what) => Err(what),
+            Some(Action::Relay(relay)) => Ok(relay),
+            Some(action) => Err(action),
         }
     }
 }
 
 impl Files {
-    pub fn config(&self, holds: Holds) -> Result<Config, String> {
+    /// Reads the configuration; an error is one line that names the key.
+    pub fn config(&self, precedence: Precedence) -> Result<Config, String> {
         config::read(
             self.config.as_deref(),
             |name| std::env::var(name).ok(),
-            holds,
+            precedence,
         )
     }
 
+    /// Reads the operator's file; the defaults if none is given.
     pub fn operator(&self) -> Result<OperatorConfig, String> {
         let read = self
             .operator
@@ -106,21 +113,21 @@
             .map(|path| OperatorConfig::read(path));
         read.transpose()
             .map(Option::unwrap_or_default)
-            .map_err(|fault| fault.to_string())
+            .map_err(|error| error.to_string())
     }
 }
 
-/// The text that a command prints.
-pub fn answer(what: What) -> Result<String, String> {
-    match what {
-        What::Check(check) => self::check(&check),
-        What::Explain { key } => explain(key.as_deref()),
-        What::Relay(_) => Ok(String::new()),
+/// Returns the text that a command prints.
+pub fn output(action: Action) -> Result<String, String> {
+    match action {
+        Action::Check(check) => self::check(&check),
+        Action::Explain { key } => explain(key.as_deref()),
+        Action::Relay(_) => Ok(String::new()),
     }
 }
 
-/// What would hold: a name and a value each, files' own and derived.
-fn held(config: &Config, operator: &OperatorConfig) -> Vec<(String, String)> {
+/// Names and values that would be in effect: those of both files, then the limits derived from them.
+fn effective_values(config: &Config, operator: &OperatorConfig) -> Vec<(String, String)> {
     let Config {
         name,
         listen,
@@ -133,9 +140,9 @@
     } = config;
     let table = operator.connections.as_ref();
     let budget = Budget::of(*sockets, table);
-    let limits = limits(table, budget, &names.settings);
-    let or_none = |stated: Option<String>| stated.unwrap_or_else(|| "none".to_owned());
-    let mut held = vec![
+    let limits = connection_limits(table, budget, &names.settings);
+    let or_none = |value: Option<String>| value.unwrap_or_else(|| "none".to_owned());
+    let mut values = vec![
         ("name".to_owned(), name.clone()),
         ("listen".to_owned(), listen.to_string()),
         ("discovery".to_owned(), discovery.to_string()),
@@ -150,13 +157,13 @@
         ("limits.sockets".to_owned(), sockets.to_string()),
         ("tracks".to_owned(), names.tracks.join(" ")),
     ];
-    held.extend(
+    values.extend(
         operator
             .effective_settings()
             .into_iter()
             .map(|(table, key, value)| (format!("{table}.{key}"), value)),
     );
-    held.extend([
+    values.extend([
         (
             "clients: connections at most".to_owned(),
             limits.max_open.to_string(),
@@ -182,21 +189,21 @@
             budget.units.to_string(),
         ),
     ]);
-    held
+    values
 }
 
 fn check(check: &Check) -> Result<String, String> {
     let operator = check.files.operator()?;
-    let config = check.files.config(Holds::Environment)?;
-    let held = held(&config, &operator);
+    let config = check.files.config(Precedence::Environment)?;
+    let values = effective_values(&config, &operator);
     if check.json {
-        let object: serde_json::Map<_, _> = held
+        let object: serde_json::Map<_, _> = values
             .into_iter()
             .map(|(key, value)| (key, value.into()))
             .collect();
         return Ok(format!("{}\n", serde_json::Value::Object(object)));
     }
-    Ok(held
+    Ok(values
         .iter()
         .map(|(key, value)| format!("{key:<32} {value}\n"))
         .collect())
@@ -204,25 +211,25 @@
 
 fn explain(key: Option<&str>) -> Result<String, String> {
     let keys = OperatorConfig::keys();
-    let Some(asked) = key else {
-        return Ok(keys.iter().map(short).collect());
+    let Some(wanted) = key else {
+        return Ok(keys.iter().map(summary).collect());
     };
-    let is_meant = |key: &&KeyInfo| {
-        asked == key.table
-            || asked == key.name
-            || asked.split_once('.') == Some((key.table, key.name))
+    let is_match = |key: &&KeyInfo| {
+        wanted == key.table
+            || wanted == key.name
+            || wanted.split_once('.') == Some((key.table, key.name))
     };
-    let meant: Vec<&KeyInfo> = keys.iter().filter(is_meant).collect();
-    match meant[..] {
+    let matching: Vec<&KeyInfo> = keys.iter().filter(is_match).collect();
+    match matching[..] {
         [] => Err(format!(
-            "explain: there is no key '{asked}'; `beechcroft explain` lists them all"
+            "explain: there is no key '{wanted}'; `beechcroft explain` lists them all"
         )),
-        [key] => Ok(whole(key)),
-        _ => Ok(meant.into_iter().map(short).collect()),
+        [key] => Ok(details(key)),
+        _ => Ok(matching.into_iter().map(summary).collect()),
     }
 }
 
-fn short(key: &KeyInfo) -> String {
+fn summary(key: &KeyInfo) -> String {
     let first = key
         .description
         .split_inclusive('.')
@@ -231,7 +238,7 @@
     format!("{:<32} {}\n", format!("{}.{}", key.table, key.name), first)
 }
 
-fn whole(key: &KeyInfo) -> String {
+fn details(key: &KeyInfo) -> String {
     let KeyInfo {
         table,
         name,
--- a/crates/beechcroft-relay/src/wire/clients.rs
+++ b/crates/beechcroft-relay/src/wire/clients.rs
@@ -1,8 +1,8 @@
-//! Clients: axum in front. A request is decoded once into a task, its answer encoded once. Connections are kept in
-//! [`crate::wire::lot`] and served in [`crate::wire::serving`].
+//! Clients' requests: decodes each once into a task and encodes its answer, behind an axum router. The connections are
+//! managed in [`crate::wire::connection_manager`] and served in [`crate::wire::connection`].
 
-use crate::life::phases::{Life, Phase};
-use crate::wire::budget::{BODY_MAX, BODY_WAIT, HINT_MAX, TXN_MAX};
+use crate::lifecycle::phases::{Lifecycle, Phase};
+use crate::wire::limits::{BODY_TIMEOUT, MAX_REQUEST_BODY_BYTES, MAX_TXN_BYTES, MAX_WORK_HINT};
 use crate::wire::units::{KEY, REMAINING, TXN};
 use axum::body::{Body, HttpBody};
 use axum::extract::{Request, State};
@@ -25,68 +25,73 @@
 const LANE: &str = "x-lane";
 const LABELS: &str = "x-labels";
 
-/// What the front knows of the deployment.
-pub struct Front {
+/// What is needed to decode requests: the names of the deployment and the relay's actor.
+pub struct Frontend {
     tracks: Vec<(String, Effect)>,
     tenants: Vec<String>,
-    /// No client of this deployment waits longer.
-    longest_wait: Duration,
-    module: Mailbox,
-    life: Life,
+    /// No client of this deployment waits longer; zero if unknown.
+    max_client_wait: Duration,
+    relay_events: Mailbox,
+    lifecycle: Lifecycle,
 }
 
-impl Front {
-    pub fn new(names: &NamedSettings, module: Mailbox, life: Life) -> Front {
+impl Frontend {
+    /// Uses the names of the settings, and sends tasks to the relay's actor.
+    pub fn new(names: &NamedSettings, relay_events: Mailbox, lifecycle: Lifecycle) -> Frontend {
         let effects = names.settings.tracks.iter().map(|track| track.effect);
         let tracks = names.tracks.iter().cloned().zip(effects).collect();
-        let longest_wait = names.transport.max_client_wait;
-        Front {
+        let max_client_wait = names.transport.max_client_wait;
+        Frontend {
             tracks,
             tenants: names.tenants.clone(),
-            longest_wait,
-            module,
-            life,
+            max_client_wait,
+            relay_events,
+            lifecycle,
         }
     }
 }
 
-/// What a client's request says of its task.
+/// What the head of a client's request says of its task.
 #[derive(Debug)]
-pub struct Asked {
+pub struct TaskHead {
+    /// Id of the task.
     pub id: TaskId,
+    /// Its track.
     pub track: TrackId,
+    /// Its hints.
     pub hints: Hints,
+    /// How long the client waits for the answer.
     pub remaining: Duration,
     txn: HeaderValue,
     idempotency_key: Option<HeaderValue>,
 }
 
-/// Why a request is no task: 4xx at once.
+/// Why a request is rejected with a 4xx status at once.
 #[derive(Debug)]
-pub struct Fault {
+pub struct RequestError {
     status: StatusCode,
-    what: &'static str,
-    /// The method that would do, where another was used.
+    message: &'static str,
+    /// The method to use, where another was used.
     allow: Option<&'static str>,
 }
 
-impl Fault {
-    fn new(status: StatusCode, what: &'static str) -> Fault {
-        Fault {
+impl RequestError {
+    fn new(status: StatusCode, message: &'static str) -> RequestError {
+        RequestError {
             status,
-            what,
+            message,
             allow: None,
         }
     }
 
     fn encode(self) -> Response {
-        let response = with(
-            plain(self.status, self.what),
+        let response = with_header(
+            text_response(self.status, self.message),
             header::ALLOW,
             self.allow.map(HeaderValue::from_static),
         );
-        // What follows on this connection, a body that was not read above all, is not to be believed.
-        with(
+        // The connection is closed: what follows on it, above all a body that was not read, cannot be trusted.
+        with_header(
             response,
             header::CONNECTION,
             Some(HeaderValue::from_static("close")),
@@ -94,22 +99,24 @@
     }
 }
 
-impl Front {
-    pub fn decode(&self, head: &Parts) -> Result<Asked, Fault> {
-        let bad = |what| Fault::new(StatusCode::BAD_REQUEST, what);
+impl Frontend {
+    /// Decodes the head of a request.
+    pub fn decode(&self, head: &Parts) -> Result<TaskHead, RequestError> {
+        let bad = |message| RequestError::new(StatusCode::BAD_REQUEST, message);
         let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-        // Beside one, hyper takes a Content-Length away: whoever is behind may see another end of the body.
+        // hyper removes a Content-Length that comes with a Transfer-Encoding: a server behind this one could see
+        // another end of the body.
         if head.headers.contains_key(header::TRANSFER_ENCODING) {
-            return Err(Fault::new(
+            return Err(RequestError::new(
                 StatusCode::LENGTH_REQUIRED,
-                "Transfer-Encoding: not taken",
+                "Transfer-Encoding: not supported",
             ));
         }
         let lane = text(LANE).ok_or(bad("X-Lane: missing or malformed"))?;
         let track = self.tracks.iter().position(|(name, _)| name == lane);
-        let track = track.ok_or(Fault::new(StatusCode::NOT_FOUND, "X-Lane: unknown"))?;
+        let track = track.ok_or(RequestError::new(StatusCode::NOT_FOUND, "X-Lane: unknown"))?;
         if head.uri.path().split('/').nth(1) != Some(lane) {
-            return Err(Fault::new(
+            return Err(RequestError::new(
                 StatusCode::NOT_FOUND,
                 "path: its first part is not X-Lane",
             ));
@@ -121,30 +128,30 @@
             "POST"
         };
         if head.method != method {
-            let fault = Fault::new(
+            let error = RequestError::new(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "method: not that of the track",
             );
-            return Err(Fault {
+            return Err(RequestError {
                 allow: Some(method),
-                ..fault
+                ..error
             });
         }
-        let txn = text(TXN).filter(|txn| (1..=TXN_MAX).contains(&txn.len()));
+        let txn = text(TXN).filter(|txn| (1..=MAX_TXN_BYTES).contains(&txn.len()));
         let txn = txn.ok_or(bad("X-Txn: missing or malformed"))?;
         let remaining =
             text(REMAINING).filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
-        let remaining = remaining.and_then(|text| text.parse::<u32>().ok()); // some 49 days at most
+        let remaining = remaining.and_then(|text| text.parse::<u32>().ok()); // about 49 days at most
         let remaining = remaining.ok_or(bad("X-Remaining-Ms: missing or malformed"))?;
         let remaining = Duration::from_millis(remaining.into());
-        if remaining > self.longest_wait && !self.longest_wait.is_zero() {
+        if remaining > self.max_client_wait && !self.max_client_wait.is_zero() {
             return Err(bad("X-Remaining-Ms: longer than any client waits"));
         }
         let idempotency_key = head.headers.get(KEY).filter(|key| !key.is_empty()).cloned();
         if matches!(effect, Effect::Deduplicated { .. }) && idempotency_key.is_none() {
             return Err(bad("Idempotency-Key: missing"));
         }
-        Ok(Asked {
+        Ok(TaskHead {
             id: TaskId(SmolStr::new(txn)),
             track: TrackId(track),
             hints: self
@@ -156,7 +163,7 @@
         })
     }
 
-    /// The further figures, named as on the simulator's wire; others are passed over.
+    /// The optional labels, named as on the simulator's wire; unknown ones are ignored.
     fn hints(&self, headers: &HeaderMap) -> Option<Hints> {
         let mut hints = Hints::default();
         let Some(labels) = headers.get(LABELS) else {
@@ -171,13 +178,13 @@
             match label.trim().split_once('=')? {
                 ("client_group", "0") => {}
                 ("client_group", name) => {
-                    let place = self.tenants.iter().position(|tenant| tenant == name)?;
-                    hints.tenant = Some(TenantId(place));
+                    let index = self.tenants.iter().position(|tenant| tenant == name)?;
+                    hints.tenant = Some(TenantId(index));
                 }
                 ("route_key", key) => hints.key = Some(Key(key.parse().ok()?)),
                 ("work_hint_s", work) => {
                     let work = Duration::try_from_secs_f64(work.parse().ok()?).ok()?;
-                    hints.work = Some(work).filter(|&work| work <= HINT_MAX);
+                    hints.work = Some(work).filter(|&work| work <= MAX_WORK_HINT);
                     hints.work?;
                 }
                 _ => {}
@@ -187,28 +194,28 @@
     }
 }
 
-/// Tells the module that the client left, unless the answer came first.
-struct Waiting {
-    module: Mailbox,
+/// Reports that the client disconnected, unless its answer came first.
+struct DisconnectGuard {
+    relay_events: Mailbox,
     id: Option<TaskId>,
 }
 
-impl Drop for Waiting {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
-        let left = self.id.take();
-        left.into_iter()
-            .for_each(|id| drop(self.module.send(Event::ClientDisconnected(id))));
+        let id = self.id.take();
+        id.into_iter()
+            .for_each(|id| drop(self.relay_events.send(Event::ClientDisconnected(id))));
     }
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response {
+fn text_response(status: StatusCode, text: &'static str) -> Response {
     let mut response = Response::new(Body::from(text));
     *response.status_mut() = status;
     response
 }
 
-/// The response with a header, if there is one.
-fn with(mut response: Response, name: HeaderName, value: Option<HeaderValue>) -> Response {
+/// Adds a header to the response, if there is a value.
+fn with_header(mut response: Response, name: HeaderName, value: Option<HeaderValue>) -> Response {
     response
         .headers_mut()
         .extend(value.map(|value| (name, value)));
@@ -217,98 +224,105 @@
 
 fn encode(answer: TaskAnswer) -> Response {
     match answer {
-        TaskAnswer::Handled(reply) => with(
-            Response::new(Body::from(reply.body)),
+        TaskAnswer::Handled(response) => with_header(
+            Response::new(Body::from(response.body)),
             header::CONTENT_TYPE,
-            reply.content_type,
+            response.content_type,
         ),
-        TaskAnswer::Nacked(hold_off) => {
-            let after = HeaderValue::try_from(format!("{:.3}", hold_off.as_secs_f64())).ok();
-            let after = after.filter(|_| !hold_off.is_zero());
-            with(
-                plain(StatusCode::SERVICE_UNAVAILABLE, "nacked\n"),
+        TaskAnswer::Nacked(retry_after) => {
+            let value = HeaderValue::try_from(format!("{:.3}", retry_after.as_secs_f64())).ok();
+            let value = value.filter(|_| !retry_after.is_zero());
+            with_header(
+                text_response(StatusCode::SERVICE_UNAVAILABLE, "nacked\n"),
                 header::RETRY_AFTER,
-                after,
+                value,
             )
         }
-        TaskAnswer::Terminated => plain(StatusCode::BAD_GATEWAY, "terminated\n"),
+        TaskAnswer::Terminated => text_response(StatusCode::BAD_GATEWAY, "terminated\n"),
     }
 }
 
-/// When something of a request had arrived, which may be before its head was read.
+/// When the first byte of a request arrived, which may be before its head was read.
 #[derive(Clone, Copy, Debug)]
-pub struct Arrived(pub Instant);
+pub struct ArrivedAt(pub Instant);
 
-/// Dropped when the client closes its connection, which tells the module.
-async fn task(State(front): State<Arc<Front>>, request: Request) -> Response {
+/// Handles a task. The future is dropped when the client closes its connection, which reports the disconnect.
+async fn handle_task(State(frontend): State<Arc<Frontend>>, request: Request) -> Response {
     let (head, body) = request.into_parts();
     let arrived = head
         .extensions
         .get()
-        .map_or_else(Instant::now, |&Arrived(at)| at);
-    let asked = match front.decode(&head) {
-        Ok(asked) => asked,
-        Err(fault) => return fault.encode(),
+        .map_or_else(Instant::now, |&ArrivedAt(at)| at);
+    let task = match frontend.decode(&head) {
+        Ok(task) => task,
+        Err(error) => return error.encode(),
     };
-    let abandon_at = arrived + asked.remaining;
+    let abandon_at = arrived + task.remaining;
     let too_long =
-        || Fault::new(StatusCode::PAYLOAD_TOO_LARGE, "body: too long or broken").encode();
-    if body.size_hint().lower() > BODY_MAX as u64 {
+        || RequestError::new(StatusCode::PAYLOAD_TOO_LARGE, "body: too long or broken").encode();
+    if body.size_hint().lower() > MAX_REQUEST_BODY_BYTES as u64 {
         return too_long();
     }
-    let until = abandon_at.min(arrived + BODY_WAIT);
-    let body = match tokio::time::timeout_at(until, axum::body::to_bytes(body, BODY_MAX)).await {
-        Ok(Ok(body)) => body,
-        Ok(Err(_)) => return too_long(),
-        Err(_) => {
-            return Fault::new(StatusCode::REQUEST_TIMEOUT, "body: did not arrive in time").encode()
-        }
-    };
-    let call = Arc::new(TaskRequest {
+    let until = abandon_at.min(arrived + BODY_TIMEOUT);
+    let body =
+        match tokio::time::timeout_at(until, axum::body::to_bytes(body, MAX_REQUEST_BODY_BYTES))
+            .await
+        {
+            Ok(Ok(body)) => body,
+            Ok(Err(_)) => return too_long(),
+            Err(_) => {
+                return RequestError::new(
+                    StatusCode::REQUEST_TIMEOUT,
+                    "body: did not arrive in time",
+                )
+                .encode()
+            }
+        };
+    let request = Arc::new(TaskRequest {
         method: head.method,
         target: head.uri,
-        txn: asked.txn,
-        idempotency_key: asked.idempotency_key,
+        txn: task.txn,
+        idempotency_key: task.idempotency_key,
         content_type: head.headers.get(header::CONTENT_TYPE).cloned(),
         body,
     });
     let (answer, answered) = oneshot::channel();
-    let (id, track, hints) = (asked.id.clone(), asked.track, asked.hints);
-    let taken = NewTask {
+    let (id, track, hints) = (task.id.clone(), task.track, task.hints);
+    let new_task = NewTask {
         id,
         track,
         hints,
         deadline: abandon_at,
-        request: call,
+        request,
         answer,
     };
-    if front.module.send(Event::Task(taken)).is_err() {
-        return plain(StatusCode::SERVICE_UNAVAILABLE, "leaving\n");
+    if frontend.relay_events.send(Event::Task(new_task)).is_err() {
+        return text_response(StatusCode::SERVICE_UNAVAILABLE, "leaving\n");
     }
-    let mut waiting = Waiting {
-        module: front.module.clone(),
-        id: Some(asked.id),
+    let mut guard = DisconnectGuard {
+        relay_events: frontend.relay_events.clone(),
+        id: Some(task.id),
     };
     let answer = answered.await;
-    waiting.id = None;
-    // No answer: the module did not take it, as a task with this id is open.
+    guard.id = None;
+    // No answer: the relay's actor did not accept the task, as one with this id is open.
     answer.map_or_else(
-        |_| Fault::new(StatusCode::CONFLICT, "X-Txn: such a task is open").encode(),
+        |_| RequestError::new(StatusCode::CONFLICT, "X-Txn: a task with this id is open").encode(),
         encode,
     )
 }
 
-async fn healthz(State(front): State<Arc<Front>>) -> Response {
-    match front.life.now() {
-        Phase::Serving => plain(StatusCode::OK, "serving\n"),
-        _ => plain(StatusCode::SERVICE_UNAVAILABLE, "not serving\n"),
+async fn healthz(State(frontend): State<Arc<Frontend>>) -> Response {
+    match frontend.lifecycle.phase() {
+        Phase::Serving => text_response(StatusCode::OK, "serving\n"),
+        _ => text_response(StatusCode::SERVICE_UNAVAILABLE, "not serving\n"),
     }
 }
 
-/// What answers the requests of all connections.
-pub fn router(front: Front) -> Router {
+/// The router for the requests of all connections.
+pub fn router(frontend: Frontend) -> Router {
     Router::new()
         .route("/healthz", get(healthz))
-        .fallback(task)
-        .with_state(Arc::new(front))
+        .fallback(handle_task)
+        .with_state(Arc::new(frontend))
 }
--- a/crates/beechcroft-relay/src/wire/discovery.rs
+++ b/crates/beechcroft-relay/src/wire/discovery.rs
@@ -1,9 +1,10 @@
-//! Discovery: how its list is written, and the client that asks for it. The list's actor decides when.
+//! The discovery protocol: decodes the list of units, and the client that requests it.
+//! [`crate::membership::unit_list`] decides when.
 
-use crate::wire::budget::{CONTROL_CONNECT, LIST_MAX, WATCH_SLACK, WATCH_WAIT};
-use crate::wire::keep::Keep;
-use crate::wire::link::{collect, Connector, HttpClient, Room};
-use crate::wire::sparse::whole;
+use crate::wire::connector::{collect, ConnectionQuota, Connector, HttpClient};
+use crate::wire::idle_timeout::IdleTimeout;
+use crate::wire::limits::{CONTROL_CONNECT_TIMEOUT, MAX_LIST_BYTES, WATCH_GRACE, WATCH_TIMEOUT};
+use crate::wire::rate_limited_log::error_chain;
 use beechcroft::{BuildId, CellId, Health, MachineTypeId, UnitId, ZoneId};
 use beechcroft_core::list::{UnitEndpoint, UnitEntry, UnitList};
 use beechcroft_settings::NamedSettings;
@@ -16,14 +17,14 @@
 use std::time::Duration;
 
 #[derive(Deserialize)]
-struct ListForm {
+struct WireList {
     index: u64,
     snapshot: bool,
-    endpoints: Vec<EntryForm>,
+    endpoints: Vec<WireEntry>,
 }
 
 #[derive(Deserialize)]
-struct EntryForm {
+struct WireEntry {
     name: SmolStr,
     address: SocketAddr,
     #[serde(default)]
@@ -33,139 +34,148 @@
     #[serde(default)]
     group: u64,
     status: SmolStr,
-    #[serde(default = "full_size")]
+    #[serde(default = "default_weight")]
     weight: f64,
     #[serde(default)]
     since_ms: u64,
     revision_no: u16,
 }
 
-fn full_size() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// The places of zones and kinds of machines among the names of the settings.
-pub struct Places {
+/// Decodes lists; zones and machine types become indices into the names of the settings.
+pub struct ListDecoder {
     zones: Vec<String>,
     kinds: Vec<String>,
 }
 
-impl Places {
-    pub fn new(names: &NamedSettings) -> Places {
-        Places {
+impl ListDecoder {
+    /// For the names of these settings.
+    pub fn new(names: &NamedSettings) -> ListDecoder {
+        ListDecoder {
             zones: names.zones.clone(),
             kinds: names.kinds.clone(),
         }
     }
 
+    /// Decodes a list or its changes.
     pub fn decode(&self, text: &[u8]) -> Result<UnitList, String> {
-        let form: ListForm = serde_json::from_slice(text).map_err(|error| error.to_string())?;
-        let entries = form.endpoints.into_iter().map(|entry| self.entry(entry));
+        let wire: WireList = serde_json::from_slice(text).map_err(|error| error.to_string())?;
+        let entries = wire.endpoints.into_iter().map(|entry| self.entry(entry));
         Ok(UnitList {
-            index: form.index,
-            is_snapshot: form.snapshot,
+            index: wire.index,
+            is_snapshot: wire.snapshot,
             entries: entries.collect::<Result<_, _>>()?,
         })
     }
 
-    fn entry(&self, form: EntryForm) -> Result<UnitEntry, String> {
-        let among = |names: &[String], name: &str| names.iter().position(|known| known == name);
-        let health = match form.status.as_str() {
+    fn entry(&self, wire: WireEntry) -> Result<UnitEntry, String> {
+        let index_of =
+            |names: &[String], name: &str| names.iter().position(|candidate| candidate == name);
+        let health = match wire.status.as_str() {
             "active" => Health::Ready,
             "leaving" => Health::Draining,
             "left" => Health::Gone,
-            other => return Err(format!("status of {}: unknown '{other}'", form.name)),
+            other => return Err(format!("status of {}: unknown '{other}'", wire.name)),
         };
-        if form.name.is_empty() || !form.weight.is_finite() {
-            return Err(format!("entry '{}': name or weight is void", form.name));
+        if wire.name.is_empty() || !wire.weight.is_finite() {
+            return Err(format!(
+                "entry '{}': name is empty or weight is not finite",
+                wire.name
+            ));
         }
-        let started = (form.since_ms > 0).then(|| Duration::from_millis(form.since_ms));
-        let listing = UnitEndpoint {
-            address: form.address,
+        let started = (wire.since_ms > 0).then(|| Duration::from_millis(wire.since_ms));
+        let endpoint = UnitEndpoint {
+            address: wire.address,
             started,
             draining: health != Health::Ready,
         };
         Ok(UnitEntry {
-            unit: UnitId(form.name),
-            endpoint: listing,
-            build: BuildId(form.revision_no),
-            zone: among(&self.zones, &form.zone).map(ZoneId),
-            machine_type: MachineTypeId(among(&self.kinds, &form.kind).unwrap_or(0)),
-            cell: CellId(form.group),
+            unit: UnitId(wire.name),
+            endpoint,
+            build: BuildId(wire.revision_no),
+            zone: index_of(&self.zones, &wire.zone).map(ZoneId),
+            machine_type: MachineTypeId(index_of(&self.kinds, &wire.kind).unwrap_or(0)),
+            cell: CellId(wire.group),
             health,
-            capacity: form.weight,
+            capacity: wire.weight,
         })
     }
 }
 
+/// The client of discovery.
 pub struct Discovery {
     address: SocketAddr,
-    places: Places,
+    decoder: ListDecoder,
     client: HttpClient,
 }
 
 impl Discovery {
-    pub fn new(address: SocketAddr, places: Places) -> Discovery {
+    /// Connects at the first request.
+    pub fn new(address: SocketAddr, decoder: ListDecoder) -> Discovery {
         Discovery {
             address,
-            places,
+            decoder,
             client: Discovery::client(address),
         }
     }
 
     fn client(address: SocketAddr) -> HttpClient {
-        // Two: the watch's own, and its successor where it fell silent.
-        let room = Room::new(2);
-        let keep = WATCH_WAIT + WATCH_SLACK;
+        // Two: the connection of the watch, and its successor if that one fell silent.
+        let quota = ConnectionQuota::new(2);
+        let idle_timeout = WATCH_TIMEOUT + WATCH_GRACE;
         Connector {
             to: address,
-            time_out: CONTROL_CONNECT,
-            room,
-            keep: Keep::new(keep),
+            connect_timeout: CONTROL_CONNECT_TIMEOUT,
+            quota,
+            idle_timeout: IdleTimeout::new(idle_timeout),
         }
-        .client(keep)
+        .client(idle_timeout)
     }
 
-    /// Gives up the connection that is kept: what it carries can't be relied on.
+    /// Drops the kept connection, as it may be stale or out of step.
     pub fn reconnect(&mut self) {
         self.client = Discovery::client(self.address);
     }
 
-    pub fn moved(&mut self, to: SocketAddr) {
+    /// Uses another address from now on.
+    pub fn change_address(&mut self, to: SocketAddr) {
         self.address = to;
         self.reconnect();
     }
 
-    /// What is newer than a version, as soon as there is anything; the whole list where none is held.
-    pub async fn ask(&self, after: Option<u64>) -> Result<UnitList, String> {
+    /// Waits for the changes after a version; returns the full list at once if no version is given.
+    pub async fn watch(&self, after: Option<u64>) -> Result<UnitList, String> {
         let wait = if after.is_some() {
-            WATCH_WAIT
+            WATCH_TIMEOUT
         } else {
             Duration::ZERO
         };
-        let answer = tokio::time::timeout(wait + WATCH_SLACK, self.call(after)).await;
-        let body = answer.map_err(|_| "silent".to_owned())??;
-        self.places.decode(&body)
+        let response = tokio::time::timeout(wait + WATCH_GRACE, self.fetch(after)).await;
+        let body = response.map_err(|_| "silent".to_owned())??;
+        self.decoder.decode(&body)
     }
 
-    async fn call(&self, after: Option<u64>) -> Result<Bytes, String> {
-        let watch = after.map(|index| format!("?index={index}&wait={}", WATCH_WAIT.as_millis()));
+    async fn fetch(&self, after: Option<u64>) -> Result<Bytes, String> {
+        let query = after.map(|index| format!("?index={index}&wait={}", WATCH_TIMEOUT.as_millis()));
         let uri = format!(
             "http://{}/v1/servers{}",
             self.address,
-            watch.unwrap_or_default()
+            query.unwrap_or_default()
         );
         let request = Request::get(uri)
             .body(Full::default())
             .map_err(|error| error.to_string())?;
-        let answer = self
+        let response = self
             .client
             .request(request)
             .await
-            .map_err(|error| whole(&error))?;
-        if answer.status() != StatusCode::OK {
-            return Err(format!("status {}", answer.status()));
+            .map_err(|error| error_chain(&error))?;
+        if response.status() != StatusCode::OK {
+            return Err(format!("status {}", response.status()));
         }
-        collect(answer.into_body(), LIST_MAX).await
+        collect(response.into_body(), MAX_LIST_BYTES).await
     }
 }
--- a/crates/beechcroft-relay/src/wire/mod.rs
+++ b/crates/beechcroft-relay/src/wire/mod.rs
@@ -1,14 +1,25 @@
-//! What is spoken with others: one file for each kind of them, each decoding a message once into a small typed
-//! value, encoding it once, and carrying it. What sockets alone need stands in `budget`.
+//! The protocols that a relay speaks, one file for each kind of peer: each decodes a message once into a small typed
+//! value, encodes it once, and transports it. Time-outs and sizes of sockets are in `limits`.
 
-pub mod budget;
+/// Clients' requests.
 pub mod clients;
+/// One client's connection while it is served.
+pub mod connection;
+/// Clients' connections.
+pub mod connection_manager;
+/// Outgoing HTTP connections.
+pub mod connector;
+/// The client of discovery.
 pub mod discovery;
-pub mod keep;
-pub mod link;
-pub mod lot;
+/// How long idle connections are kept.
+pub mod idle_timeout;
+/// Limits of sockets and connections.
+pub mod limits;
+/// Datagrams between relays.
 pub mod peers;
+/// The connection to the platform.
 pub mod platform;
-pub mod serving;
-pub mod sparse;
+/// Log lines at a limited rate.
+pub mod rate_limited_log;
+/// Dispatches to units.
 pub mod units;
--- a/crates/beechcroft-relay/src/wire/peers.rs
+++ b/crates/beechcroft-relay/src/wire/peers.rs
@@ -1,7 +1,8 @@
-//! Fellow relays: datagrams out, by an actor for each and one for all, and in, known by their sender's address.
+//! The other relays of the tier: sends datagrams, by one task for each relay and one for the broadcast address, and
+//! receives them, identified by the sender's address.
 
-use crate::wire::budget::{NOTE_MAX, NOTE_PAUSE};
-use crate::wire::sparse::Sparse;
+use crate::wire::limits::{MAX_PEER_MESSAGE_BYTES, RECEIVE_PAUSE};
+use crate::wire::rate_limited_log::RateLimitedLog;
 use beechcroft::PeerId;
 use beechcroft_core::{Event, Mailbox};
 use std::collections::HashMap;
@@ -11,18 +12,21 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
+/// Where messages for one address are sent.
 pub type PeerMailbox = mpsc::UnboundedSender<Vec<u8>>;
 
-/// Where relays are spoken to.
+/// Addresses of the relays.
 #[derive(Clone, Debug)]
-pub struct Addresses {
+pub struct PeerAddresses {
+    /// The address on which this relay receives.
     pub listen: SocketAddr,
-    /// By their numbers, this relay's own included.
+    /// By the relays' ids, this relay's own included.
     pub peers: Vec<SocketAddr>,
+    /// The address that reaches all relays, if there is one.
     pub all: Option<SocketAddr>,
 }
 
-/// The mailboxes of the actors that speak with fellow relays.
+/// Mailboxes of the tasks that send to the other relays.
 #[derive(Default)]
 pub struct Peers {
     relays: Vec<PeerMailbox>,
@@ -30,38 +34,42 @@
 }
 
 impl Peers {
-    /// Starts the actors, and the one that listens.
-    pub async fn start(addresses: Addresses, me: PeerId, module: Mailbox) -> io::Result<Peers> {
+    /// Binds the socket, and starts the tasks that send and the one that receives.
+    pub async fn start(
+        addresses: PeerAddresses,
+        own_id: PeerId,
+        relay_events: Mailbox,
+    ) -> io::Result<Peers> {
         let socket = Arc::new(UdpSocket::bind(addresses.listen).await?);
         let spawn = |to: SocketAddr| {
             let (sender, mailbox) = mpsc::unbounded_channel();
-            tokio::spawn(speak(socket.clone(), to, mailbox));
+            tokio::spawn(send_loop(socket.clone(), to, mailbox));
             sender
         };
         let relays = addresses.peers.iter().copied().map(spawn).collect();
         let all = addresses.all.map(spawn);
-        tokio::spawn(listen(
+        tokio::spawn(receive_loop(
             socket.clone(),
-            numbers(&addresses.peers),
-            me,
-            module,
+            peers_by_address(&addresses.peers),
+            own_id,
+            relay_events,
         ));
         Ok(Peers { relays, all })
     }
 
-    /// To one relay, or to all; what has no address is dropped as the network may drop it.
-    pub fn tell(&self, to: Option<PeerId>, note: &[u8]) {
+    /// Sends to one relay, or to all; a message without an address is dropped, as the network may drop it.
+    pub fn send(&self, to: Option<PeerId>, message: &[u8]) {
         let mailbox = match to {
             Some(peer) => self.relays.get(peer.0 as usize),
             None => self.all.as_ref(),
         };
         mailbox
             .into_iter()
-            .for_each(|mailbox| drop(mailbox.send(note.to_vec())));
+            .for_each(|mailbox| drop(mailbox.send(message.to_vec())));
     }
 }
 
-fn numbers(peers: &[SocketAddr]) -> HashMap<SocketAddr, PeerId> {
+fn peers_by_address(peers: &[SocketAddr]) -> HashMap<SocketAddr, PeerId> {
     (0..)
         .map(PeerId)
         .zip(peers)
@@ -69,43 +77,46 @@
         .collect()
 }
 
-async fn speak(
+async fn send_loop(
     socket: Arc<UdpSocket>,
     to: SocketAddr,
     mut mailbox: mpsc::UnboundedReceiver<Vec<u8>>,
 ) {
-    let odd = Sparse::new("note to a relay");
-    while let Some(note) = mailbox.recv().await {
-        if note.len() > NOTE_MAX {
-            odd.warn(format!("{} bytes are too many, dropped", note.len()));
-        } else if let Err(error) = socket.send_to(&note, to).await {
-            odd.warn(format!("{to}: {error}"));
+    let log = RateLimitedLog::new("note to a relay");
+    while let Some(message) = mailbox.recv().await {
+        if message.len() > MAX_PEER_MESSAGE_BYTES {
+            log.warn(format!(
+                "message of {} bytes is too long, dropped",
+                message.len()
+            ));
+        } else if let Err(error) = socket.send_to(&message, to).await {
+            log.warn(format!("{to}: {error}"));
         }
     }
 }
 
-async fn listen(
+async fn receive_loop(
     socket: Arc<UdpSocket>,
-    numbers: HashMap<SocketAddr, PeerId>,
-    me: PeerId,
-    module: Mailbox,
+    peers_by_address: HashMap<SocketAddr, PeerId>,
+    own_id: PeerId,
+    relay_events: Mailbox,
 ) {
-    let odd = Sparse::new("note from a relay");
-    let mut note = [0; NOTE_MAX + 1];
+    let log = RateLimitedLog::new("note from a relay");
+    let mut message = [0; MAX_PEER_MESSAGE_BYTES + 1];
     loop {
-        match socket.recv_from(&mut note).await {
-            Ok((length, from)) => match numbers.get(&from) {
-                Some(&from) if from == me => {}
-                Some(&from) if length <= NOTE_MAX => {
-                    let _ = module.send(Event::PeerMessage(from, note[..length].to_vec()));
+        match socket.recv_from(&mut message).await {
+            Ok((length, from)) => match peers_by_address.get(&from) {
+                Some(&from) if from == own_id => {}
+                Some(&from) if length <= MAX_PEER_MESSAGE_BYTES => {
+                    let _ = relay_events.send(Event::PeerMessage(from, message[..length].to_vec()));
                 }
-                Some(_) => odd.warn(format!("{from}: too long, ignored")),
-                None => odd.warn(format!("{from} is no relay, ignored")),
+                Some(_) => log.warn(format!("{from}: message too long, ignored")),
+                None => log.warn(format!("unknown sender {from}, ignored")),
             },
-            // An earlier datagram was refused; the next may come all the same.
+            // The error is that of an earlier datagram that was refused; the next one may arrive nevertheless.
             Err(error) => {
-                odd.warn(error);
-                tokio::time::sleep(NOTE_PAUSE).await;
+                log.warn(error);
+                tokio::time::sleep(RECEIVE_PAUSE).await;
             }
         }
     }
--- a/crates/beechcroft-relay/src/wire/platform.rs
+++ b/crates/beechcroft-relay/src/wire/platform.rs
@@ -1,8 +1,11 @@
-//! The platform: JSON-RPC lines over TCP. One actor keeps a connection that listens, another beside it once the
-//! first falls silent, and the votes that wait for their answers; each connection is carried by a task of its own.
-
-use crate::wire::budget::{CONTROL_CONNECT, LINE_MAX, PING_LAPSE, PLATFORM_PAUSE};
-use crate::wire::sparse::Sparse;
+//! The platform's protocol: JSON-RPC lines over TCP. One actor keeps a connection that listens for messages, opens a
+//! second one if the first falls silent, and holds the votes that wait for their answers; each connection is run by a
+//! task of its own.
+
+use crate::wire::limits::{
+    CONTROL_CONNECT_TIMEOUT, MAX_LINE_BYTES, PING_TIMEOUT, PLATFORM_RECONNECT_DELAY,
+};
+use crate::wire::rate_limited_log::RateLimitedLog;
 use beechcroft::{BuildId, Outcome, Phase, Stage, TrackId, UnitId, Vote};
 use beechcroft_core::{Ballot, Event, Mailbox, RolloutState};
 use serde::Deserialize;
@@ -16,49 +19,54 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep_until, timeout, Instant};
 
-pub type PlatformMailbox = mpsc::UnboundedSender<ToPlatform>;
+/// Where commands for the actor are sent.
+pub type PlatformMailbox = mpsc::UnboundedSender<PlatformCommand>;
 
+/// A command for the actor.
 #[derive(Debug)]
-pub enum ToPlatform {
-    Cast(Ballot),
-    /// The platform is there from now on.
-    Moved(SocketAddr),
+pub enum PlatformCommand {
+    /// Send a vote.
+    CastVote(Ballot),
+    /// The platform has this address from now on.
+    ChangeAddress(SocketAddr),
 }
 
-/// One line of the platform's.
+/// A message from the platform.
 #[derive(Debug)]
-pub enum Told {
+pub enum Message {
+    /// A sign of life.
     Ping,
-    News(RolloutState),
-    Dispute {
-        unit: UnitId,
-        kind: SmolStr,
-    },
+    /// The state of the newest build.
+    Rollout(RolloutState),
+    /// A client has reported a wrong answer of a unit.
+    Dispute { unit: UnitId, kind: SmolStr },
+    /// The answer to a vote.
     Answer {
         id: u64,
         outcome: Outcome,
-        news: Option<RolloutState>,
+        state: Option<RolloutState>,
     },
-    Listens,
+    /// The subscription was accepted.
+    Listening,
 }
 
 #[derive(Deserialize)]
-struct LineForm {
+struct WireLine {
     id: Option<u64>,
     method: Option<SmolStr>,
     params: Option<Value>,
     result: Option<Value>,
-    error: Option<ErrorForm>,
+    error: Option<WireError>,
 }
 
 #[derive(Deserialize)]
-struct ErrorForm {
+struct WireError {
     message: SmolStr,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct NewsForm {
+struct WireRollout {
     version: u16,
     step: u8,
     status: SmolStr,
@@ -66,58 +74,59 @@
 }
 
 #[derive(Deserialize)]
-struct DisputeForm {
+struct WireDispute {
     pod: SmolStr,
     kind: SmolStr,
 }
 
-/// The state of the newest build, as news and answers hold it and as the configuration does.
-pub fn decode_news(value: Value) -> Result<RolloutState, String> {
-    let form: NewsForm = serde_json::from_value(value).map_err(|error| error.to_string())?;
-    let phase = match form.status.as_str() {
+/// Decodes the state of the newest build, which has the same form in messages, answers and the configuration.
+pub fn decode_rollout_state(value: Value) -> Result<RolloutState, String> {
+    let wire: WireRollout = serde_json::from_value(value).map_err(|error| error.to_string())?;
+    let phase = match wire.status.as_str() {
         "canary" => Phase::OnTrial,
         "reverting" => Phase::Reverting,
         "stable" => Phase::Released,
         "reverted" => Phase::Withdrawn,
         other => return Err(format!("status: unknown '{other}'")),
     };
-    if !(0.0..=1.0).contains(&form.max_weight) {
-        return Err(format!("maxWeight: {} is out of range", form.max_weight));
+    if !(0.0..=1.0).contains(&wire.max_weight) {
+        return Err(format!("maxWeight: {} is out of range", wire.max_weight));
     }
     Ok(RolloutState {
-        build: BuildId(form.version),
-        stage: Stage(form.step.into()),
+        build: BuildId(wire.version),
+        stage: Stage(wire.step.into()),
         phase,
-        cap: form.max_weight,
+        cap: wire.max_weight,
     })
 }
 
-pub fn decode(line: &[u8]) -> Result<Told, String> {
-    let form: LineForm = serde_json::from_slice(line).map_err(|error| error.to_string())?;
-    let params = form.params.unwrap_or_default();
-    match (form.method.as_deref(), form.id) {
-        (Some("ping"), _) => Ok(Told::Ping),
-        (Some("ROLLOUT"), _) => decode_news(params).map(Told::News),
+/// Decodes a line.
+pub fn decode(line: &[u8]) -> Result<Message, String> {
+    let wire: WireLine = serde_json::from_slice(line).map_err(|error| error.to_string())?;
+    let params = wire.params.unwrap_or_default();
+    match (wire.method.as_deref(), wire.id) {
+        (Some("ping"), _) => Ok(Message::Ping),
+        (Some("ROLLOUT"), _) => decode_rollout_state(params).map(Message::Rollout),
         (Some("DISPUTE"), _) => {
-            let form: DisputeForm =
+            let wire: WireDispute =
                 serde_json::from_value(params).map_err(|error| error.to_string())?;
-            Ok(Told::Dispute {
-                unit: UnitId(form.pod),
-                kind: form.kind,
+            Ok(Message::Dispute {
+                unit: UnitId(wire.pod),
+                kind: wire.kind,
             })
         }
         (Some(other), _) => Err(format!("method: unknown '{other}'")),
-        (None, Some(id)) => match (form.error, form.result) {
-            (Some(error), _) => Ok(Told::Answer {
+        (None, Some(id)) => match (wire.error, wire.result) {
+            (Some(error), _) => Ok(Message::Answer {
                 id,
-                outcome: refusal(&error.message),
-                news: None,
+                outcome: outcome_of_error(&error.message),
+                state: None,
             }),
-            (None, Some(Value::Bool(true))) => Ok(Told::Listens),
-            (None, Some(state)) => decode_news(state).map(|news| Told::Answer {
+            (None, Some(Value::Bool(true))) => Ok(Message::Listening),
+            (None, Some(state)) => decode_rollout_state(state).map(|state| Message::Answer {
                 id,
                 outcome: Outcome::Ok,
-                news: Some(news),
+                state: Some(state),
             }),
             (None, None) => Err("neither result nor error".to_owned()),
         },
@@ -125,14 +134,15 @@
     }
 }
 
-fn refusal(message: &str) -> Outcome {
+fn outcome_of_error(message: &str) -> Outcome {
     match message {
         "BUSY" => Outcome::Full,
         "FAILED" => Outcome::Error,
-        _ => Outcome::Moot, // STALE, or a call that the platform does not take
+        _ => Outcome::Moot, // STALE, or a call that the platform does not accept
     }
 }
 
+/// The line that subscribes to messages.
 pub fn encode_listen(id: u64) -> String {
     format!(
         "{}\n",
@@ -140,6 +150,7 @@
     )
 }
 
+/// The line that casts a vote.
 pub fn encode_vote(id: u64, ballot: &Ballot) -> String {
     let vote = match ballot.vote {
         Vote::Nothing => "abstain",
@@ -154,332 +165,362 @@
     )
 }
 
-/// What a connection's task reports: that it came up, a line, or its end.
+/// What the task of a connection reports: that it is established, a message, or its end.
 enum Report {
-    Up,
-    Line(Result<Told, String>),
+    Connected,
+    Received(Result<Message, String>),
     Ended(String),
 }
 
 /// A connection as the actor sees it. Dropping it ends its task and closes the connection.
-struct Line {
+struct Connection {
     number: u64,
-    to_write: mpsc::UnboundedSender<String>,
-    up: bool,
-    spoke: bool,
-    heard_at: Instant,
+    outgoing: mpsc::UnboundedSender<String>,
+    is_connected: bool,
+    has_received: bool,
+    last_received_at: Instant,
     opened_at: Instant,
-    /// To an address of before: no vote goes there any more. What it told counts until its successor speaks; it is
-    /// kept for the answers to its votes.
-    former: bool,
+    /// Connected to a previous address: no vote is sent there any more. Its messages count until a connection to the
+    /// new address has received one; it is kept for the answers to its votes.
+    superseded: bool,
 }
 
-/// A vote written and not yet answered.
-struct Waiting {
-    line: u64,
-    until: Instant,
+/// A vote that was sent and not yet answered.
+struct PendingVote {
+    connection: u64,
+    deadline: Instant,
 }
 
 struct PlatformActor {
     address: SocketAddr,
     vote_timeout: Duration,
     tracks: Vec<String>,
-    module: Mailbox,
-    odd: Sparse,
+    relay_events: Mailbox,
+    log: RateLimitedLog,
     reports: mpsc::UnboundedSender<(u64, Report)>,
-    /// Oldest first; two at most that are not of a former address: one that listens and its successor.
-    lines: Vec<Line>,
-    waiting: BTreeMap<u64, Waiting>,
-    next: u64,
-    /// No new connection before that.
-    pause_until: Instant,
-    first: Option<oneshot::Sender<()>>,
+    /// Oldest first. Besides superseded ones there are two at most: one that listens and its successor.
+    connections: Vec<Connection>,
+    pending_votes: BTreeMap<u64, PendingVote>,
+    last_id: u64,
+    /// No new connection is opened before that.
+    reconnect_at: Instant,
+    ready: Option<oneshot::Sender<()>>,
 }
 
-/// Starts the actor; `first` is told once the platform was reached, or could not be, for the first time.
+/// Starts the actor; `ready` is notified once the platform was reached, or an attempt failed, for the first time.
 pub fn spawn(
     address: SocketAddr,
     vote_timeout: Duration,
     tracks: Vec<String>,
-    module: Mailbox,
-    first: oneshot::Sender<()>,
+    relay_events: Mailbox,
+    ready: oneshot::Sender<()>,
 ) -> PlatformMailbox {
     let (sender, mailbox) = mpsc::unbounded_channel();
-    let (reports, reported) = mpsc::unbounded_channel();
+    let (reports, received_reports) = mpsc::unbounded_channel();
     let actor = PlatformActor {
         address,
         vote_timeout,
         tracks,
-        module,
-        odd: Sparse::new("platform"),
+        relay_events,
+        log: RateLimitedLog::new("platform"),
         reports,
-        lines: Vec::new(),
-        waiting: BTreeMap::new(),
-        next: 1,
-        pause_until: Instant::now(),
-        first: Some(first),
+        connections: Vec::new(),
+        pending_votes: BTreeMap::new(),
+        last_id: 1,
+        reconnect_at: Instant::now(),
+        ready: Some(ready),
     };
-    tokio::spawn(actor.run(mailbox, reported));
+    tokio::spawn(actor.run(mailbox, received_reports));
     sender
 }
 
 impl PlatformActor {
     async fn run(
         mut self,
-        mut mailbox: mpsc::UnboundedReceiver<ToPlatform>,
-        mut reported: mpsc::UnboundedReceiver<(u64, Report)>,
+        mut mailbox: mpsc::UnboundedReceiver<PlatformCommand>,
+        mut received_reports: mpsc::UnboundedReceiver<(u64, Report)>,
     ) {
         loop {
             self.keep_listening();
-            let due = self.due();
+            let deadline = self.next_deadline();
             tokio::select! {
                 biased;
-                Some((number, report)) = reported.recv() => self.report(number, report),
-                order = mailbox.recv() => match order {
-                    Some(ToPlatform::Cast(ballot)) => self.cast(ballot),
-                    Some(ToPlatform::Moved(to)) => self.moved(to),
+                Some((number, report)) = received_reports.recv() => self.handle_report(number, report),
+                command = mailbox.recv() => match command {
+                    Some(PlatformCommand::CastVote(ballot)) => self.cast_vote(ballot),
+                    Some(PlatformCommand::ChangeAddress(to)) => self.change_address(to),
                     None => return,
                 },
-                () = sleep_until(due) => {
+                () = sleep_until(deadline) => {
                     let now = Instant::now();
-                    self.give_up(|vote| vote.until <= now);
+                    self.time_out_votes(|vote| vote.deadline <= now);
                 }
             }
         }
     }
 
-    fn id(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    /// The connections to where the platform is now.
-    fn present(&self) -> impl Iterator<Item = &Line> {
-        self.lines.iter().filter(|line| !line.former)
+    /// The connections to the current address.
+    fn current(&self) -> impl Iterator<Item = &Connection> {
+        self.connections
+            .iter()
+            .filter(|connection| !connection.superseded)
     }
 
-    /// Listens there at once; what is open is kept until it is of no more use.
-    fn moved(&mut self, to: SocketAddr) {
+    /// Connects to the new address at once; open connections are kept until they are of no more use.
+    fn change_address(&mut self, to: SocketAddr) {
         if to == self.address {
             return;
         }
         self.address = to;
-        self.lines.iter_mut().for_each(|line| line.former = true);
-        self.pause_until = Instant::now();
+        self.connections
+            .iter_mut()
+            .for_each(|connection| connection.superseded = true);
+        self.reconnect_at = Instant::now();
     }
 
-    /// Opens a connection where none is left, and a second one where the last shows no life.
+    /// Opens a connection if there is none, and a second one if the others are silent.
     fn keep_listening(&mut self) {
         let now = Instant::now();
-        if now < self.silent_at() || now < self.pause_until {
+        if now < self.silent_from() || now < self.reconnect_at {
             return;
         }
-        let successor = self.present().nth(1).map(|line| line.number);
-        successor.into_iter().for_each(|silent| self.end(silent)); // it stayed silent too
-        let (number, listen) = (self.id(), self.id());
-        let (to_write, texts) = mpsc::unbounded_channel();
-        let _ = to_write.send(encode_listen(listen));
-        tokio::spawn(carry(self.address, number, texts, self.reports.clone()));
-        self.lines.push(Line {
+        let successor = self.current().nth(1).map(|connection| connection.number);
+        successor.into_iter().for_each(|silent| self.close(silent)); // it stayed silent too
+        let (number, listen) = (self.next_id(), self.next_id());
+        let (outgoing, lines) = mpsc::unbounded_channel();
+        let _ = outgoing.send(encode_listen(listen));
+        tokio::spawn(run_connection(
+            self.address,
+            number,
+            lines,
+            self.reports.clone(),
+        ));
+        self.connections.push(Connection {
             number,
-            to_write,
-            up: false,
-            spoke: false,
-            heard_at: now,
+            outgoing,
+            is_connected: false,
+            has_received: false,
+            last_received_at: now,
             opened_at: now,
-            former: false,
+            superseded: false,
         });
-        self.pause_until = now + PLATFORM_PAUSE;
+        self.reconnect_at = now + PLATFORM_RECONNECT_DELAY;
     }
 
-    /// When something is to be done although nothing happens.
-    fn due(&self) -> Instant {
-        let vote = self.waiting.values().map(|waiting| waiting.until).min();
+    /// When something must be done even if nothing is received.
+    fn next_deadline(&self) -> Instant {
+        let vote = self.pending_votes.values().map(|vote| vote.deadline).min();
         vote.into_iter()
-            .fold(self.silent_at().max(self.pause_until), Instant::min)
+            .fold(self.silent_from().max(self.reconnect_at), Instant::min)
     }
 
-    /// When too long nothing will have been heard on any connection.
-    fn silent_at(&self) -> Instant {
-        let heard = self.present().map(|line| line.heard_at).max();
-        heard.map_or(self.pause_until, |heard| heard + PING_LAPSE)
+    /// When the time without a message on any connection becomes too long.
+    fn silent_from(&self) -> Instant {
+        let last = self
+            .current()
+            .map(|connection| connection.last_received_at)
+            .max();
+        last.map_or(self.reconnect_at, |last| last + PING_TIMEOUT)
     }
 
-    fn report(&mut self, number: u64, report: Report) {
-        let Some(at) = self.lines.iter().position(|line| line.number == number) else {
+    fn handle_report(&mut self, number: u64, report: Report) {
+        let Some(index) = self
+            .connections
+            .iter()
+            .position(|connection| connection.number == number)
+        else {
             return;
         };
         match report {
-            Report::Up => (self.lines[at].up, self.lines[at].heard_at) = (true, Instant::now()),
-            Report::Ended(why) => {
-                if self.lines[at].opened_at.elapsed() > PLATFORM_PAUSE {
-                    tracing::info!(part = "platform", reason = %why, "platform: connection ended: {why}");
+            Report::Connected => {
+                (
+                    self.connections[index].is_connected,
+                    self.connections[index].last_received_at,
+                ) = (true, Instant::now())
+            }
+            Report::Ended(reason) => {
+                if self.connections[index].opened_at.elapsed() > PLATFORM_RECONNECT_DELAY {
+                    tracing::info!(part = "platform", reason = %reason, "platform: connection ended: {reason}");
                 } else {
-                    self.odd.warn(&why);
+                    self.log.warn(&reason);
                 }
-                self.end(number);
+                self.close(number);
             }
-            Report::Line(told) => {
-                self.lines[at].heard_at = Instant::now();
-                match told {
-                    Ok(told) => {
-                        self.told(told, at);
-                        self.drop_useless(number);
+            Report::Received(message) => {
+                self.connections[index].last_received_at = Instant::now();
+                match message {
+                    Ok(message) => {
+                        self.handle_message(message, index);
+                        self.drop_redundant(number);
                     }
                     Err(error) => {
-                        self.odd
+                        self.log
                             .warn(format!("line not understood, connection given up: {error}"));
-                        self.end(number);
+                        self.close(number);
                     }
                 }
             }
         }
-        if let Some(first) = self.first.take() {
-            let _ = first.send(());
+        if let Some(ready) = self.ready.take() {
+            let _ = ready.send(());
         }
     }
 
-    /// The one that lives is enough; one of a former address is kept for the answers to its votes.
-    fn drop_useless(&mut self, lives: u64) {
-        if !self.present().any(|line| line.number == lives) {
+    /// One active connection is enough; a superseded one is kept for the answers to its votes.
+    fn drop_redundant(&mut self, active: u64) {
+        if !self.current().any(|connection| connection.number == active) {
             return;
         }
-        let waits = |line: &Line| self.waiting.values().any(|vote| vote.line == line.number);
-        let others = self
-            .lines
-            .iter()
-            .filter(|line| line.number != lives && !(line.former && waits(line)));
-        let others: Vec<u64> = others.map(|line| line.number).collect();
-        others.into_iter().for_each(|number| self.end(number));
+        let awaits_votes = |connection: &Connection| {
+            self.pending_votes
+                .values()
+                .any(|vote| vote.connection == connection.number)
+        };
+        let others = self.connections.iter().filter(|connection| {
+            connection.number != active && !(connection.superseded && awaits_votes(connection))
+        });
+        let others: Vec<u64> = others.map(|connection| connection.number).collect();
+        others.into_iter().for_each(|number| self.close(number));
     }
 
-    /// A line of the connection at a place. One of a former address whose successor has spoken only answers, as
-    /// the successor tells the rest, and nothing is to be heard twice.
-    fn told(&mut self, told: Told, at: usize) {
-        let late = self.lines[at].former && self.present().any(|line| line.spoke);
-        self.lines[at].spoke = true;
-        let event = match told {
-            _ if late && !matches!(told, Told::Answer { .. }) => return,
-            Told::Answer { id, outcome, .. } if late => match self.waiting.remove(&id) {
-                Some(_) => Event::VoteAnswered(outcome, None),
-                None => return,
-            },
-            Told::Ping | Told::Listens => return,
-            Told::News(news) => Event::Rollout(news),
-            Told::Dispute { unit, kind } => {
+    /// Handles a message of the connection at this index. Once its successor has received a message, a superseded
+    /// connection counts only for answers to votes, as the successor receives all else, and nothing is to be reported
+    /// twice.
+    fn handle_message(&mut self, message: Message, index: usize) {
+        let is_superseded = self.connections[index].superseded
+            && self.current().any(|connection| connection.has_received);
+        self.connections[index].has_received = true;
+        let event = match message {
+            _ if is_superseded && !matches!(message, Message::Answer { .. }) => return,
+            Message::Answer { id, outcome, .. } if is_superseded => {
+                match self.pending_votes.remove(&id) {
+                    Some(_) => Event::VoteAnswered(outcome, None),
+                    None => return,
+                }
+            }
+            Message::Ping | Message::Listening => return,
+            Message::Rollout(state) => Event::Rollout(state),
+            Message::Dispute { unit, kind } => {
                 match self.tracks.iter().position(|track| *track == kind) {
                     Some(track) => Event::Complaint(unit, TrackId(track)),
                     None => {
                         return self
-                            .odd
+                            .log
                             .warn(format!("dispute of the unknown track '{kind}'"))
                     }
                 }
             }
-            Told::Answer { id, outcome, news } => match (self.waiting.remove(&id), news) {
-                (Some(_), news) => Event::VoteAnswered(outcome, news),
-                (None, Some(news)) => Event::Rollout(news), // given up before
+            Message::Answer { id, outcome, state } => match (self.pending_votes.remove(&id), state)
+            {
+                (Some(_), state) => Event::VoteAnswered(outcome, state),
+                (None, Some(state)) => Event::Rollout(state), // the vote had timed out before
                 (None, None) => return,
             },
         };
-        let _ = self.module.send(event);
+        let _ = self.relay_events.send(event);
     }
 
     /// Drops a connection; its votes may have been counted, or may yet be.
-    fn end(&mut self, number: u64) {
-        self.lines.retain(|line| line.number != number);
-        self.give_up(|vote| vote.line == number);
+    fn close(&mut self, number: u64) {
+        self.connections
+            .retain(|connection| connection.number != number);
+        self.time_out_votes(|vote| vote.connection == number);
     }
 
-    /// Waits no longer for the answers to such votes.
-    fn give_up(&mut self, such: impl Fn(&Waiting) -> bool) {
-        let module = &self.module;
-        self.waiting.retain(|_, vote| {
-            let waits = !such(vote);
-            if !waits {
-                let _ = module.send(Event::VoteAnswered(Outcome::TimeOut, None));
+    /// Reports those votes as timed out.
+    fn time_out_votes(&mut self, is_lost: impl Fn(&PendingVote) -> bool) {
+        let relay_events = &self.relay_events;
+        self.pending_votes.retain(|_, vote| {
+            let keep = !is_lost(vote);
+            if !keep {
+                let _ = relay_events.send(Event::VoteAnswered(Outcome::TimeOut, None));
             }
-            waits
+            keep
         });
     }
 
-    /// On the connection last heard of. Without one the vote was surely not carried out.
-    fn cast(&mut self, ballot: Ballot) {
-        let id = self.id();
-        let text = encode_vote(id, &ballot);
-        let line = self
-            .present()
-            .filter(|line| line.up)
-            .max_by_key(|line| line.heard_at);
-        match line.filter(|line| line.to_write.send(text).is_ok()) {
-            Some(line) => {
-                let until = Instant::now() + self.vote_timeout;
-                self.waiting.insert(
+    /// Sends a vote on the connection that was active last. If there is none, the vote was certainly not counted.
+    fn cast_vote(&mut self, ballot: Ballot) {
+        let id = self.next_id();
+        let line = encode_vote(id, &ballot);
+        let connection = self
+            .current()
+            .filter(|connection| connection.is_connected)
+            .max_by_key(|connection| connection.last_received_at);
+        match connection.filter(|connection| connection.outgoing.send(line).is_ok()) {
+            Some(connection) => {
+                let deadline = Instant::now() + self.vote_timeout;
+                self.pending_votes.insert(
                     id,
-                    Waiting {
-                        line: line.number,
-                        until,
+                    PendingVote {
+                        connection: connection.number,
+                        deadline,
                     },
                 );
             }
             None => drop(
-                self.module
+                self.relay_events
                     .send(Event::VoteAnswered(Outcome::ConnectFailed, None)),
             ),
         }
     }
 }
 
-/// Carries one connection: lines in, texts out, until it breaks or the actor drops it.
-async fn carry(
+/// Runs one connection until it breaks or the actor drops it.
+async fn run_connection(
     address: SocketAddr,
     number: u64,
-    mut texts: mpsc::UnboundedReceiver<String>,
+    mut lines: mpsc::UnboundedReceiver<String>,
     reports: mpsc::UnboundedSender<(u64, Report)>,
 ) {
-    let why = match timeout(CONTROL_CONNECT, TcpStream::connect(address)).await {
+    let reason = match timeout(CONTROL_CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => {
-            speak(stream, &mut texts, |told| {
-                drop(reports.send((number, told)))
+            exchange_lines(stream, &mut lines, |message| {
+                drop(reports.send((number, message)))
             })
             .await
         }
         Ok(Err(error)) => format!("connect: {error}"),
         Err(_) => "connect: no answer".to_owned(),
     };
-    let _ = reports.send((number, Report::Ended(why)));
+    let _ = reports.send((number, Report::Ended(reason)));
 }
 
-/// Why it ended.
-async fn speak(
+/// Sends and receives lines; returns why the connection ended.
+async fn exchange_lines(
     stream: TcpStream,
-    texts: &mut mpsc::UnboundedReceiver<String>,
+    lines: &mut mpsc::UnboundedReceiver<String>,
     report: impl Fn(Report),
 ) -> String {
     let _ = stream.set_nodelay(true);
-    report(Report::Up);
+    report(Report::Connected);
     let (read, mut write) = stream.into_split();
-    let mut read = BufReader::with_capacity(LINE_MAX, read);
+    let mut read = BufReader::with_capacity(MAX_LINE_BYTES, read);
     let mut line = Vec::new();
     loop {
-        // A line read in part stays in `line` while a text is written.
-        let mut rest = (&mut read).take((LINE_MAX - line.len()) as u64);
+        // A partly read line stays in `line` while another one is written.
+        let mut rest = (&mut read).take((MAX_LINE_BYTES - line.len()) as u64);
         tokio::select! {
-            text = texts.recv() => match text {
-                Some(text) => match timeout(CONTROL_CONNECT, write.write_all(text.as_bytes())).await {
+            outgoing = lines.recv() => match outgoing {
+                Some(outgoing) => match timeout(CONTROL_CONNECT_TIMEOUT, write.write_all(outgoing.as_bytes())).await {
                     Ok(Ok(())) => {}
                     Ok(Err(error)) => return error.to_string(),
-                    Err(_) => return "takes no more".to_owned(),
+                    Err(_) => return "write timed out".to_owned(),
                 },
                 None => return "no longer needed".to_owned(),
             },
             read = rest.read_until(b'\n', &mut line) => match read {
                 Ok(0) => return "closed".to_owned(),
                 Ok(_) if line.ends_with(b"\n") => {
-                    report(Report::Line(decode(&line)));
+                    report(Report::Received(decode(&line)));
                     line.clear();
                 }
-                Ok(_) if line.len() >= LINE_MAX => return "line too long".to_owned(),
+                Ok(_) if line.len() >= MAX_LINE_BYTES => return "line too long".to_owned(),
                 Ok(_) => {}
                 Err(error) => return error.to_string(),
             },
--- a/crates/beechcroft-relay/src/wire/units.rs
+++ b/crates/beechcroft-relay/src/wire/units.rs
@@ -1,10 +1,15 @@
-//! Units: one actor for each, which alone speaks with it. A dispatch goes out as an HTTP call and comes back as
-//! one outcome; `ConnectFailed`, `Full` and `Moot` only where it is proven that the task never ran.
+//! Dispatches to units: one actor for each unit, which alone connects to it. A dispatch is sent as an HTTP request and
+//! ends with one outcome; `ConnectFailed`, `Full` and `Moot` are used only where it is certain that the task never
+//! ran.
 
-use crate::wire::budget::{ANSWER_MAX, DIAL_PART, REPLACED, UNIT_CALLS};
-use crate::wire::keep::Keep;
-use crate::wire::link::{collect, Connector, HttpClient, NoRoom, NotQuiet, Room};
-use crate::wire::sparse::{whole, Sparse};
+use crate::wire::connector::{
+    collect, ConnectionQuota, Connector, HttpClient, QuotaExhausted, StaleConnection,
+};
+use crate::wire::idle_timeout::IdleTimeout;
+use crate::wire::limits::{
+    CONNECT_FRACTION, MAX_CALLS_PER_UNIT, MAX_RESPONSE_BODY_BYTES, MAX_STALE_RETRIES,
+};
+use crate::wire::rate_limited_log::{error_chain, RateLimitedLog};
 use beechcroft::{Outcome, TaskId};
 use beechcroft_core::list::UnitEndpoint;
 use beechcroft_core::request::{TaskRequest, UnitResponse};
@@ -25,136 +30,153 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, Instant};
 
+/// Header with the id of a task.
 pub const TXN: &str = "x-txn";
+/// Header with the milliseconds that remain for a task.
 pub const REMAINING: &str = "x-remaining-ms";
+/// Header with the idempotency key of a task.
 pub const KEY: &str = "idempotency-key";
-const TURNED_AWAY: &str = "x-turned-away";
-const LOAD: &str = "x-pressure";
+const REJECTED: &str = "x-turned-away";
+const LOAD_REPORT: &str = "x-pressure";
 
 /// The fields of a load report that are used. Deployments name them differently.
 #[derive(Deserialize)]
-struct LoadForm {
+struct LoadReport {
     #[serde(alias = "rif", alias = "inflight")]
     held: Option<f64>,
 }
 
+/// Where commands for a unit's actor are sent.
 pub type UnitMailbox = mpsc::UnboundedSender<UnitCommand>;
 
-/// What all units' actors share.
+/// What the actors of all units share.
 #[derive(Clone)]
-pub struct Shared {
-    pub module: Mailbox,
-    pub room: Room,
-    pub dial_time_out: Duration,
-    pub keep: Keep,
+pub struct UnitContext {
+    /// The mailbox of the relay's actor.
+    pub relay_events: Mailbox,
+    /// Descriptors for connections to units.
+    pub quota: ConnectionQuota,
+    /// Time for a connection to be established.
+    pub connect_timeout: Duration,
+    /// How long idle connections are worth keeping.
+    pub idle_timeout: IdleTimeout,
 }
 
-impl Shared {
-    pub fn new(module: Mailbox, connections: usize, transport: &TransportSettings) -> Shared {
-        Shared {
-            module,
-            room: Room::new(connections),
-            dial_time_out: transport.connect_timeout,
-            keep: Keep::new(transport.idle_close.mul_f64(IDLE_KEEP_FRACTION)),
+impl UnitContext {
+    /// Allows so many connections to all units together.
+    pub fn new(
+        relay_events: Mailbox,
+        connections: usize,
+        transport: &TransportSettings,
+    ) -> UnitContext {
+        UnitContext {
+            relay_events,
+            quota: ConnectionQuota::new(connections),
+            connect_timeout: transport.connect_timeout,
+            idle_timeout: IdleTimeout::new(transport.idle_close.mul_f64(IDLE_KEEP_FRACTION)),
         }
     }
 
-    pub fn spawn(&self, listing: UnitEndpoint) -> UnitMailbox {
+    /// Starts the actor of a unit.
+    pub fn spawn(&self, endpoint: UnitEndpoint) -> UnitMailbox {
         let (sender, mailbox) = mpsc::unbounded_channel();
-        let kept = self.keep.worth();
-        let client = self.client(listing, kept);
+        let pool_timeout = self.idle_timeout.current();
+        let client = self.client(endpoint, pool_timeout);
         let actor = UnitActor {
             shared: self.clone(),
-            listing,
+            endpoint,
             client,
-            kept,
-            orders: HashMap::new(),
+            pool_timeout,
+            signals: HashMap::new(),
         };
         tokio::spawn(actor.run(mailbox));
         sender
     }
 
-    fn client(&self, listing: UnitEndpoint, kept: Duration) -> HttpClient {
-        let Shared {
-            room,
-            dial_time_out,
-            keep,
+    fn client(&self, endpoint: UnitEndpoint, pool_timeout: Duration) -> HttpClient {
+        let UnitContext {
+            quota,
+            connect_timeout,
+            idle_timeout,
             ..
         } = self.clone();
         Connector {
-            to: listing.address,
-            time_out: dial_time_out,
-            room,
-            keep,
+            to: endpoint.address,
+            connect_timeout,
+            quota,
+            idle_timeout,
         }
-        .client(kept)
+        .client(pool_timeout)
     }
 }
 
-/// What a call under way is told.
+/// A signal to a call in flight.
 #[derive(Clone, Copy, PartialEq)]
-enum Order {
+enum CallSignal {
+    /// Continue.
     Proceed,
-    Leave,
-    Abandon,
+    /// The unit is draining: stop unless the request was written.
+    Drain,
+    /// Stop.
+    Cancel,
 }
 
 struct UnitActor {
-    shared: Shared,
-    listing: UnitEndpoint,
+    shared: UnitContext,
+    endpoint: UnitEndpoint,
     client: HttpClient,
-    /// For how long it keeps idle connections.
-    kept: Duration,
-    orders: HashMap<(TaskId, u32), watch::Sender<Order>>,
+    /// How long the pool keeps idle connections.
+    pool_timeout: Duration,
+    signals: HashMap<(TaskId, u32), watch::Sender<CallSignal>>,
 }
 
 impl UnitActor {
-    /// Until nobody holds the mailbox and no call is open.
+    /// Runs until the mailbox is closed and no call is in flight.
     async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<UnitCommand>) {
-        let odd = Sparse::new("unit's answer");
+        let log = RateLimitedLog::new("unit's answer");
         let mut calls = FuturesUnordered::new();
-        let mut shortage = self.shared.room.shortage();
+        let mut exhaustion = self.shared.quota.exhaustion();
         let mut open = true;
         while open || !calls.is_empty() {
             tokio::select! {
                 biased;
                 message = mailbox.recv(), if open => match message {
-                    Some(UnitCommand::UpdateEndpoint(listing)) => self.listed(listing),
-                    Some(UnitCommand::Remove) => self.listed(UnitEndpoint { draining: true, ..self.listing }),
-                    Some(UnitCommand::Cancel(task, no)) => {
-                        if let Some(order) = self.orders.get(&(task, no.0)) {
-                            order.send_replace(Order::Abandon);
+                    Some(UnitCommand::UpdateEndpoint(endpoint)) => self.update_endpoint(endpoint),
+                    Some(UnitCommand::Remove) => self.update_endpoint(UnitEndpoint { draining: true, ..self.endpoint }),
+                    Some(UnitCommand::Cancel(task, number)) => {
+                        if let Some(signal) = self.signals.get(&(task, number.0)) {
+                            signal.send_replace(CallSignal::Cancel);
                         }
                     }
                     Some(UnitCommand::Dispatch(dispatch)) => calls.push(self.call(dispatch)),
                     None => open = false,
                 },
-                // A pool that is dropped closes its idle connections; the calls under way keep theirs.
-                Ok(()) = shortage.changed() => self.renew(),
-                Some((ended, oddity)) = calls.next() => {
-                    self.orders.remove(&(ended.task.clone(), ended.number.0));
-                    oddity.into_iter().for_each(|oddity| odd.warn(format!("{} {oddity}", self.listing.address)));
-                    let _ = self.shared.module.send(Event::DispatchEnded(ended));
+                // Dropping a pool closes its idle connections; calls in flight keep theirs.
+                Ok(()) = exhaustion.changed() => self.reset_pool(),
+                Some((ended, warning)) = calls.next() => {
+                    self.signals.remove(&(ended.task.clone(), ended.number.0));
+                    warning.into_iter().for_each(|warning| log.warn(format!("{} {warning}", self.endpoint.address)));
+                    let _ = self.shared.relay_events.send(Event::DispatchEnded(ended));
                 }
             }
         }
     }
 
-    /// Leaves what is idle behind; what is under way keeps its connection.
-    fn renew(&mut self) {
-        self.kept = self.shared.keep.worth();
-        self.client = self.shared.client(self.listing, self.kept);
+    /// Replaces the pool, which closes its idle connections; calls in flight keep theirs.
+    fn reset_pool(&mut self) {
+        self.pool_timeout = self.shared.idle_timeout.current();
+        self.client = self.shared.client(self.endpoint, self.pool_timeout);
     }
 
-    /// A new address or start is a new machine: its connections are new ones.
-    fn listed(&mut self, listing: UnitEndpoint) {
-        let before = std::mem::replace(&mut self.listing, listing);
-        if (listing.address, listing.started) != (before.address, before.started) {
-            self.renew();
+    /// A new address or start time means a new instance, which gets new connections.
+    fn update_endpoint(&mut self, endpoint: UnitEndpoint) {
+        let before = std::mem::replace(&mut self.endpoint, endpoint);
+        if (endpoint.address, endpoint.started) != (before.address, before.started) {
+            self.reset_pool();
         }
-        if listing.draining {
-            for order in self.orders.values() {
-                order.send_replace(Order::Leave);
+        if endpoint.draining {
+            for signal in self.signals.values() {
+                signal.send_replace(CallSignal::Drain);
             }
         }
     }
@@ -163,226 +185,233 @@
         &mut self,
         dispatch: Dispatch,
     ) -> impl std::future::Future<Output = (DispatchResult, Option<String>)> + use<> {
-        if self.shared.keep.worth() != self.kept {
-            self.renew();
+        if self.shared.idle_timeout.current() != self.pool_timeout {
+            self.reset_pool();
         }
-        let spent_room = self.orders.len() >= UNIT_CALLS;
-        let (order, told) = watch::channel(if self.listing.draining {
-            Order::Leave
+        let too_many_calls = self.signals.len() >= MAX_CALLS_PER_UNIT;
+        let (sender, signal) = watch::channel(if self.endpoint.draining {
+            CallSignal::Drain
         } else {
-            Order::Proceed
+            CallSignal::Proceed
         });
-        self.orders
-            .insert((dispatch.task.clone(), dispatch.number.0), order);
-        let (client, address) = (self.client.clone(), self.listing.address);
+        self.signals
+            .insert((dispatch.task.clone(), dispatch.number.0), sender);
+        let (client, address) = (self.client.clone(), self.endpoint.address);
         async move {
             let Dispatch {
                 task,
-                number: no,
-                request: call,
-                sent_at: at,
+                number,
+                request,
+                sent_at,
                 time_out,
             } = dispatch;
-            let got = match encode(&call, address, time_out) {
-                _ if spent_room => Got::of(Outcome::Moot),
-                Ok(request) => exchange(client, request, told, at, time_out).await,
-                Err(error) => Got::odd(Outcome::Moot, error.to_string()),
+            let result = match encode(&request, address, time_out) {
+                _ if too_many_calls => CallResult::of(Outcome::Moot),
+                Ok(request) => exchange(client, request, signal, sent_at, time_out).await,
+                Err(error) => CallResult::with_warning(Outcome::Moot, error.to_string()),
             };
-            let Got {
+            let CallResult {
                 outcome,
-                reply,
-                oddity,
-                held,
+                response,
+                warning,
+                load,
                 ..
-            } = got;
+            } = result;
             (
                 DispatchResult {
                     task,
-                    number: no,
+                    number,
                     outcome,
-                    response: reply,
-                    elapsed: at.elapsed(),
-                    reported_load: held,
+                    response,
+                    elapsed: sent_at.elapsed(),
+                    reported_load: load,
                 },
-                oddity,
+                warning,
             )
         }
     }
 }
 
-/// What came of a call.
-struct Got {
+/// The result of a call.
+struct CallResult {
     outcome: Outcome,
-    reply: Option<UnitResponse>,
-    oddity: Option<String>,
-    /// How many tasks the unit told that it holds.
-    held: Option<f64>,
-    /// Nothing was written, as the connection was unfit to be used again.
+    response: Option<UnitResponse>,
+    warning: Option<String>,
+    /// Number of tasks that the unit reports to hold.
+    load: Option<f64>,
+    /// Nothing was written, as the pooled connection could not be reused.
     unwritten: bool,
 }
 
-impl Got {
-    fn of(outcome: Outcome) -> Got {
-        Got {
+impl CallResult {
+    fn of(outcome: Outcome) -> CallResult {
+        CallResult {
             outcome,
-            reply: None,
-            oddity: None,
-            held: None,
+            response: None,
+            warning: None,
+            load: None,
             unwritten: false,
         }
     }
 
-    fn odd(outcome: Outcome, oddity: String) -> Got {
-        Got {
-            oddity: Some(oddity),
-            ..Got::of(outcome)
+    fn with_warning(outcome: Outcome, warning: String) -> CallResult {
+        CallResult {
+            warning: Some(warning),
+            ..CallResult::of(outcome)
         }
     }
 }
 
 fn encode(
-    call: &TaskRequest,
+    task: &TaskRequest,
     address: SocketAddr,
-    wait: Duration,
+    time_out: Duration,
 ) -> Result<Request<Full<Bytes>>, http::Error> {
-    let path = call
+    let path = task
         .target
         .path_and_query()
         .map_or("/", |path| path.as_str());
     let uri: Uri = format!("http://{address}{path}").parse()?;
     let mut request = Request::builder()
-        .method(call.method.clone())
+        .method(task.method.clone())
         .uri(uri)
-        .header(TXN, &call.txn)
-        .header(REMAINING, wait.as_millis() as u64);
+        .header(TXN, &task.txn)
+        .header(REMAINING, time_out.as_millis() as u64);
     for (name, value) in [
-        (KEY, &call.idempotency_key),
-        (header::CONTENT_TYPE.as_str(), &call.content_type),
+        (KEY, &task.idempotency_key),
+        (header::CONTENT_TYPE.as_str(), &task.content_type),
     ] {
         request = value
             .iter()
             .fold(request, |request, value| request.header(name, value));
     }
-    request.body(Full::new(call.body.clone()))
+    request.body(Full::new(task.body.clone()))
 }
 
-/// One call. Where a kept connection was found unfit before anything of the request was written, another one takes it.
+/// Makes one call. If a pooled connection turns out stale before anything of the request was written, another one is
+/// used.
 async fn exchange(
     client: HttpClient,
     request: Request<Full<Bytes>>,
-    mut told: watch::Receiver<Order>,
-    at: Instant,
+    mut signal: watch::Receiver<CallSignal>,
+    sent_at: Instant,
     time_out: Duration,
-) -> Got {
-    for _ in 0..REPLACED {
-        match attempt(&client, request.clone(), &mut told, at, time_out).await {
-            // The others that ended with it are seen to have by the next turn.
-            Got {
+) -> CallResult {
+    for _ in 0..MAX_STALE_RETRIES {
+        match attempt(&client, request.clone(), &mut signal, sent_at, time_out).await {
+            // By the next turn the runtime has noticed the other connections that were closed along with it.
+            CallResult {
                 unwritten: true, ..
             } => tokio::task::yield_now().await,
-            got => return got,
+            result => return result,
         }
     }
-    attempt(&client, request, &mut told, at, time_out).await
+    attempt(&client, request, &mut signal, sent_at, time_out).await
 }
 
-/// One try of a call. Dropping it, on order or when its time is over, closes its connection or gives up connecting.
+/// One attempt of a call. Dropping it, on a signal or on its time-out, closes its connection or gives up connecting.
 async fn attempt(
     client: &HttpClient,
     mut request: Request<Full<Bytes>>,
-    told: &mut watch::Receiver<Order>,
-    at: Instant,
+    signal: &mut watch::Receiver<CallSignal>,
+    sent_at: Instant,
     time_out: Duration,
-) -> Got {
+) -> CallResult {
     let connection = capture_connection(&mut request);
     let answered = async { read(client.request(request).await).await };
-    // A task that waits for no connection beyond a part of its time can still be sent elsewhere.
-    let undialled = async {
-        sleep_until(at + time_out.mul_f64(DIAL_PART)).await;
+    // Ends the wait for a connection after a fraction of the time-out, so that the task can still be sent elsewhere.
+    let not_connected_in_time = async {
+        sleep_until(sent_at + time_out.mul_f64(CONNECT_FRACTION)).await;
         if is_written(&connection) {
             std::future::pending().await
         }
     };
-    // In this order: what is over or called off is never written, even if the connection comes up this moment.
+    // In this order: a call that is over or cancelled is never written, even if the connection is established at this
+    // moment.
     tokio::select! {
         biased;
-        outcome = called_off(told, &connection) => Got::of(outcome),
-        () = sleep_until(at + time_out) => match is_written(&connection) {
-            true => Got::of(Outcome::TimeOut),
-            false => Got::of(Outcome::ConnectFailed),
+        outcome = cancelled(signal, &connection) => CallResult::of(outcome),
+        () = sleep_until(sent_at + time_out) => match is_written(&connection) {
+            true => CallResult::of(Outcome::TimeOut),
+            false => CallResult::of(Outcome::ConnectFailed),
         },
-        () = undialled => Got::of(Outcome::ConnectFailed),
-        got = answered => got,
+        () = not_connected_in_time => CallResult::of(Outcome::ConnectFailed),
+        result = answered => result,
     }
 }
 
-/// Whether the request may have been written: it has been given to a connection.
+/// Whether the request may have been written: it was assigned to a connection.
 fn is_written(connection: &CaptureConnection) -> bool {
     connection.connection_metadata().is_some()
 }
 
-/// Ends once the call is abandoned, or its unit is listed as leaving before anything was written.
-async fn called_off(told: &mut watch::Receiver<Order>, connection: &CaptureConnection) -> Outcome {
+/// Returns once the call is cancelled, or once its unit is draining and nothing was written.
+async fn cancelled(
+    signal: &mut watch::Receiver<CallSignal>,
+    connection: &CaptureConnection,
+) -> Outcome {
     loop {
-        match *told.borrow_and_update() {
-            Order::Abandon => return Outcome::Abandoned,
-            Order::Leave if !is_written(connection) => return Outcome::ConnectFailed,
-            Order::Leave | Order::Proceed => {}
+        match *signal.borrow_and_update() {
+            CallSignal::Cancel => return Outcome::Abandoned,
+            CallSignal::Drain if !is_written(connection) => return Outcome::ConnectFailed,
+            CallSignal::Drain | CallSignal::Proceed => {}
         }
-        if told.changed().await.is_err() {
+        if signal.changed().await.is_err() {
             return std::future::pending().await;
         }
     }
 }
 
-async fn read(answer: Result<Response<Incoming>, hyper_util::client::legacy::Error>) -> Got {
+async fn read(answer: Result<Response<Incoming>, hyper_util::client::legacy::Error>) -> CallResult {
     let answer = match answer {
         Ok(answer) => answer,
-        Err(error) => return of_error(&error),
+        Err(error) => return result_of_error(&error),
     };
     let (head, body) = answer.into_parts();
-    let outcome = of_status(head.status, &head.headers);
-    let held = head
+    let outcome = outcome_of_status(head.status, &head.headers);
+    let load = head
         .headers
-        .get(LOAD)
-        .and_then(|value| held_by(value.as_bytes()));
-    // Whatever came, the body is read to its end, so that the connection can be kept.
-    let got = match collect(body, ANSWER_MAX).await {
+        .get(LOAD_REPORT)
+        .and_then(|value| load_in_report(value.as_bytes()));
+    // The body is read to its end in any case, so that the connection can be reused.
+    let result = match collect(body, MAX_RESPONSE_BODY_BYTES).await {
         Ok(body) if outcome == Outcome::Ok => {
             let content_type = head.headers.get(header::CONTENT_TYPE).cloned();
-            Got {
-                reply: Some(UnitResponse { body, content_type }),
-                ..Got::of(outcome)
+            CallResult {
+                response: Some(UnitResponse { body, content_type }),
+                ..CallResult::of(outcome)
             }
         }
-        Err(error) if outcome == Outcome::Ok => Got::odd(Outcome::Reset, format!("body: {error}")),
+        Err(error) if outcome == Outcome::Ok => {
+            CallResult::with_warning(Outcome::Reset, format!("body: {error}"))
+        }
         _ if head.status == StatusCode::INTERNAL_SERVER_ERROR || outcome == Outcome::Full => {
-            Got::of(outcome)
+            CallResult::of(outcome)
         }
-        _ => Got::odd(outcome, format!("unexpected status {}", head.status)),
+        _ => CallResult::with_warning(outcome, format!("unexpected status {}", head.status)),
     };
-    Got { held, ..got }
+    CallResult { load, ..result }
 }
 
-/// How many tasks a load report says that the unit holds; one that cannot be read, or says nonsense, says nothing.
-pub fn held_by(report: &[u8]) -> Option<f64> {
-    let report: LoadForm = serde_json::from_slice(report).ok()?;
+/// The number of tasks that the unit holds by its load report; none if the report cannot be decoded or its number is
+/// not plausible.
+pub fn load_in_report(report: &[u8]) -> Option<f64> {
+    let report: LoadReport = serde_json::from_slice(report).ok()?;
     report.held.and_then(load::valid_load)
 }
 
-/// The outcome that a status proves; any but the protocol's is an error, which may have run.
-pub fn of_status(status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let turned_away = headers.get(TURNED_AWAY).is_some_and(|value| value == "1");
+/// The outcome that a status proves. Any status that the protocol does not define is an error, after which the task
+/// may have run.
+pub fn outcome_of_status(status: StatusCode, headers: &HeaderMap) -> Outcome {
+    let rejected = headers.get(REJECTED).is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => {
-            Outcome::Full
-        }
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => Outcome::Full,
         _ => Outcome::Error,
     }
 }
 
-fn cause<'a, T: std::error::Error + 'static>(
+fn find_cause<'a, T: std::error::Error + 'static>(
     error: &'a (dyn std::error::Error + 'static),
 ) -> Option<&'a T> {
     let mut next = Some(error);
@@ -395,31 +424,32 @@
     None
 }
 
-/// Whether a kept connection refused the request unwritten.
-fn is_not_quiet(error: &hyper_util::client::legacy::Error) -> bool {
-    let inner = cause::<std::io::Error>(error).and_then(std::io::Error::get_ref);
-    inner.is_some_and(|inner| inner.is::<NotQuiet>())
+/// Whether a pooled connection rejected the request before anything was written.
+fn is_stale_connection(error: &hyper_util::client::legacy::Error) -> bool {
+    let inner = find_cause::<std::io::Error>(error).and_then(std::io::Error::get_ref);
+    inner.is_some_and(|inner| inner.is::<StaleConnection>())
 }
 
-/// What a failed call proves. hyper calls a request canceled only where it hands it back unwritten. A log line is worth
-/// what cannot be read and our own shortage, not what the network does.
-fn of_error(error: &hyper_util::client::legacy::Error) -> Got {
-    if let Some(short) = cause::<NoRoom>(error) {
-        return Got::odd(Outcome::Moot, short.to_string());
+/// The outcome that a failed call proves. hyper calls a request canceled only where it returns it unwritten. Responses
+/// that cannot be parsed and the relay's own shortage of descriptors are logged; network faults are not.
+fn result_of_error(error: &hyper_util::client::legacy::Error) -> CallResult {
+    if let Some(exhausted) = find_cause::<QuotaExhausted>(error) {
+        return CallResult::with_warning(Outcome::Moot, exhausted.to_string());
     }
-    let handed_back = cause::<hyper::Error>(error).is_some_and(hyper::Error::is_canceled);
-    if handed_back || is_not_quiet(error) {
-        return Got {
+    let returned_unwritten =
+        find_cause::<hyper::Error>(error).is_some_and(hyper::Error::is_canceled);
+    if returned_unwritten || is_stale_connection(error) {
+        return CallResult {
             unwritten: true,
-            ..Got::of(Outcome::ConnectFailed)
+            ..CallResult::of(Outcome::ConnectFailed)
         };
     }
     if error.is_connect() {
-        return Got::of(Outcome::ConnectFailed);
+        return CallResult::of(Outcome::ConnectFailed);
     }
-    let unreadable = cause::<hyper::Error>(error).filter(|error| error.is_parse());
-    Got {
-        oddity: unreadable.map(|error| whole(error)),
-        ..Got::of(Outcome::Reset)
+    let parse_error = find_cause::<hyper::Error>(error).filter(|error| error.is_parse());
+    CallResult {
+        warning: parse_error.map(|error| error_chain(error)),
+        ..CallResult::of(Outcome::Reset)
     }
 }
