--- a/crates/beechcroft-consensus/src/config_store.rs
+++ b/crates/beechcroft-consensus/src/config_store.rs
@@ -96,16 +96,13 @@
         }
         if base != self.version {
             let detail = format!(
-                "version {:08x} is in force, not the base version {base:08x}",
+                "version {:08x} is in place, the base is {base:08x}",
                 self.version
             );
             return Err(Error::new(ErrorKind::VersionConflict, detail));
         }
         if version <= self.version {
-            let detail = format!(
-                "version {version:08x} is not above {:08x}, which is in force",
-                self.version
-            );
+            let detail = format!("version {version:08x} is not above {:08x}", self.version);
             return Err(Error::new(ErrorKind::Invalid, detail));
         }
         Ok(())
@@ -125,10 +122,7 @@
             .read_to_end(&mut body)
             .is_ok();
         if !is_complete || (*version, *sent) != (self.version, digest(&body)) {
-            let detail = format!(
-                "stored body of version {:08x} does not match its digest",
-                self.version
-            );
+            let detail = format!("version {:08x} is not what was sent", self.version);
             return Err(Error::new(ErrorKind::CorruptState, detail));
         }
         Ok(body)
--- a/crates/beechcroft-consensus/src/operations_state.rs
+++ b/crates/beechcroft-consensus/src/operations_state.rs
@@ -272,7 +272,7 @@
                     target, ramp_ms, ..
                 } = held;
                 let detail =
-                    format!("rollout of {service} to {target} over {ramp_ms} ms is active");
+                    format!("a rollout of {service} to {target} over {ramp_ms} ms is active");
                 Err(Error::new(ErrorKind::InProgress, detail))
             }
             Stage::Complete => Ok(is_same_target && is_base),
--- a/crates/beechcroft-control/src/api.rs
+++ b/crates/beechcroft-control/src/api.rs
@@ -51,10 +51,7 @@
         let state = match self.status.state.as_str() {
             "ready" => EndpointState::Ready,
             "draining" => EndpointState::Draining,
-            other => {
-                let detail = format!("status.state: `{other}` is neither `ready` nor `draining`");
-                return Err(invalid(detail));
-            }
+            other => return Err(invalid(format!("state `{other}`"))),
         };
         Ok(EndpointRecord {
             id,
@@ -172,10 +169,10 @@
     async fn show_rollout(&self, service: &str, request: &Request) -> Result<Response, Error> {
         let value = self.read(RegisterId::Operations, request).await?;
         let operations = OperationsState::decode(&value)?;
-        let rollout = operations.rollouts.get(service).ok_or_else(|| {
-            let detail = format!("service `{service}` has had no rollout");
-            Error::new(ErrorKind::NotFound, detail)
-        })?;
+        let rollout = operations
+            .rollouts
+            .get(service)
+            .ok_or_else(|| Error::new(ErrorKind::NotFound, format!("no rollout of {service}")))?;
         let state = match rollout.stage {
             Stage::Active(_) => "active",
             Stage::Complete => "complete",
@@ -219,7 +216,7 @@
     async fn propose(&self, operation: Operation, request: &Request) -> Result<Response, Error> {
         let requires_caller = !operation.is_conditional() && Safeguard::CallerPresence.is_enabled();
         if requires_caller && request.caller.is_gone().await {
-            let detail = "keep the connection open until the response arrives";
+            let detail = "keep the connection open until the answer has come";
             return Err(Error::new(ErrorKind::CallerGone, detail));
         }
         let (register, received_at) = (operation.register(), request.received_at);
@@ -232,7 +229,7 @@
         tokio::select! {
             biased;
             () = request.caller.gone(), if requires_caller => {
-                Err(Error::new(ErrorKind::NoQuorum, "the caller closed the connection"))
+                Err(Error::new(ErrorKind::NoQuorum, "the caller has closed its side"))
             }
             outcome = ask_owner(&self.queue, command) => {
                 outcome??;
--- a/crates/beechcroft-control/src/state_owner.rs
+++ b/crates/beechcroft-control/src/state_owner.rs
@@ -330,7 +330,7 @@
 
     /// The error that sends a caller to another control node because this one has no quorum contact.
     fn no_quorum_contact() -> Error {
-        let detail = "this control node cannot reach a majority; another control node may";
+        let detail = "this control node does not reach a majority; another one may";
         Error::new(ErrorKind::NoQuorumContact, detail)
     }
 }
--- a/crates/beechcroft-control/src/state_owner/command.rs
+++ b/crates/beechcroft-control/src/state_owner/command.rs
@@ -164,12 +164,7 @@
 ) -> Result<T, Error> {
     let (sender, answer) = oneshot::channel();
     let timeout = Duration::from_millis(PROPOSAL_TIMEOUT_MS + ANSWER_MARGIN_MS);
-    let no_answer = || {
-        Error::new(
-            ErrorKind::NoQuorum,
-            "the control node did not answer in time",
-        )
-    };
+    let no_answer = || Error::new(ErrorKind::NoQuorum, "no answer");
     queue.send(command(sender)).map_err(|_| no_answer())?;
     let answered = tokio::time::timeout(timeout, answer).await;
     answered.map_err(|_| no_answer())?.map_err(|_| no_answer())
--- a/crates/beechcroft-control/src/state_owner/consensus.rs
+++ b/crates/beechcroft-control/src/state_owner/consensus.rs
@@ -122,8 +122,7 @@
         received_at: Instant,
     ) -> Result<u64, Error> {
         if self.is_past_shutdown(now) {
-            let detail = "ask another control node";
-            return Err(Error::new(ErrorKind::ShuttingDown, detail));
+            return Err(Error::new(ErrorKind::ShuttingDown, "this machine leaves"));
         }
         self.check_may_propose(now, operation)?;
         let received_at = self.at(received_at);
--- a/crates/beechcroft-control/src/state_owner/show.rs
+++ b/crates/beechcroft-control/src/state_owner/show.rs
@@ -18,7 +18,7 @@
         );
         let Some(rules) = self.outlier_rules.get(service) else {
             return text
-                + "its service has no outlier rules: each proxy decides by its own failures\n";
+                + "its service has no rules on unhealthy units: each proxy decides by its own failures\n";
         };
         let key = endpoint_key(id);
         let verdicts = self.verdicts(service).unwrap_or_default();
--- a/crates/beechcroft-outlier/src/detector.rs
+++ b/crates/beechcroft-outlier/src/detector.rs
@@ -170,7 +170,7 @@
         unreachable,
     } = counts;
     format!(
-        "{period}: {responses} responses, {late} late, {errors} errors, {invalid} invalid, {unreachable} unreachable"
+        "{period}: {responses} answers, {late} late, {errors} errors, {invalid} wrong, {unreachable} unreachable"
     )
 }
 
