--- a/crates/beechcroft-relay/src/lifecycle/logs.rs
+++ b/crates/beechcroft-relay/src/lifecycle/logs.rs
@@ -12,12 +12,10 @@
 /// task.
 const MAX_BUFFERED_LINES: usize = 2048;
 
-/// Format of the log lines.
+/// Format of the log lines: text without fields, or one JSON object a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// One line of text without fields.
     Text,
-    /// One JSON object a line.
     Json,
 }
 
--- a/crates/beechcroft-relay/src/lifecycle/run.rs
+++ b/crates/beechcroft-relay/src/lifecycle/run.rs
@@ -161,7 +161,8 @@
     let max_wait = names.transport.max_client_wait.min(MAX_SHUTDOWN_WAIT);
     let shut_down = async {
         let enter_serving = async {
-            let _ = tokio::join!(first_list, first_platform_contact); // a part that fails to start drops its sender, which ends the wait
+            // A part that is not configured or has ended dropped its sender, which ends the wait for it.
+            let _ = tokio::join!(first_list, first_platform_contact);
             lifecycle.enter(Phase::Serving);
             std::future::pending().await
         };
--- a/crates/beechcroft-relay/src/wire/connection_manager.rs
+++ b/crates/beechcroft-relay/src/wire/connection_manager.rs
@@ -76,7 +76,7 @@
 
 /// Registers a descriptor with the runtime for readiness to read.
 fn async_fd<T: AsRawFd>(inner: T) -> io::Result<AsyncFd<T>> {
-    // SAFETY: only called with a listener and an epoll, which own their descriptor and never give it up or another one.
+    // SAFETY: only called with a listener and an epoll instance, which own their descriptor and never change it.
     unsafe { AsyncFd::register_with_interest(inner, Readiness::READABLE) }.map_err(io::Error::from)
 }
 
--- a/crates/beechcroft-relay/src/wire/platform.rs
+++ b/crates/beechcroft-relay/src/wire/platform.rs
@@ -39,11 +39,19 @@
     /// The state of the newest build.
     Rollout(RolloutState),
     /// A client has reported a wrong answer of a unit.
-    Dispute { unit: UnitId, kind: SmolStr },
+    Dispute {
+        /// The unit.
+        unit: UnitId,
+        /// Name of the track of the answered task.
+        kind: SmolStr,
+    },
     /// The answer to a vote.
     Answer {
+        /// Id of the call that cast the vote.
         id: u64,
+        /// Whether the vote was counted.
         outcome: Outcome,
+        /// The state of the newest build, if the vote was counted.
         state: Option<RolloutState>,
     },
     /// The subscription was accepted.
--- a/crates/beechcroft-relay/src/wire/units.rs
+++ b/crates/beechcroft-relay/src/wire/units.rs
@@ -83,7 +83,7 @@
         let pool_timeout = self.idle_timeout.current();
         let client = self.client(endpoint, pool_timeout);
         let actor = UnitActor {
-            shared: self.clone(),
+            context: self.clone(),
             endpoint,
             client,
             pool_timeout,
@@ -122,7 +122,7 @@
 }
 
 struct UnitActor {
-    shared: UnitContext,
+    context: UnitContext,
     endpoint: UnitEndpoint,
     client: HttpClient,
     /// How long the pool keeps idle connections.
@@ -135,7 +135,7 @@
     async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<UnitCommand>) {
         let log = RateLimitedLog::new("unit's answer");
         let mut calls = FuturesUnordered::new();
-        let mut exhaustion = self.shared.quota.exhaustion();
+        let mut exhaustion = self.context.quota.exhaustion();
         let mut open = true;
         while open || !calls.is_empty() {
             tokio::select! {
@@ -156,7 +156,7 @@
                 Some((ended, warning)) = calls.next() => {
                     self.signals.remove(&(ended.task.clone(), ended.number.0));
                     warning.into_iter().for_each(|warning| log.warn(format!("{} {warning}", self.endpoint.address)));
-                    let _ = self.shared.relay_events.send(Event::DispatchEnded(ended));
+                    let _ = self.context.relay_events.send(Event::DispatchEnded(ended));
                 }
             }
         }
@@ -164,8 +164,8 @@
 
     /// Replaces the pool, which closes its idle connections; calls in flight keep theirs.
     fn reset_pool(&mut self) {
-        self.pool_timeout = self.shared.idle_timeout.current();
-        self.client = self.shared.client(self.endpoint, self.pool_timeout);
+        self.pool_timeout = self.context.idle_timeout.current();
+        self.client = self.context.client(self.endpoint, self.pool_timeout);
     }
 
     /// A new address or start time means a new instance, which gets new connections.
@@ -185,7 +185,7 @@
         &mut self,
         dispatch: Dispatch,
     ) -> impl std::future::Future<Output = (DispatchResult, Option<String>)> + use<> {
-        if self.shared.idle_timeout.current() != self.pool_timeout {
+        if self.context.idle_timeout.current() != self.pool_timeout {
             self.reset_pool();
         }
         let too_many_calls = self.signals.len() >= MAX_CALLS_PER_UNIT;
