--- a/crates/beechcroft-simulator/src/cluster/client.rs
+++ b/crates/beechcroft-simulator/src/cluster/client.rs
@@ -128,7 +128,7 @@
         let to = usable[(world.draw() * usable.len() as f64) as usize % usable.len()];
         let id = format!("{:08x}{attempt_number:02x}", request);
         let method = if kind.is_idempotent { "GET" } else { "POST" };
-        let asked = ClientAttempt {
+        let attempt = ClientAttempt {
             at: world.now(),
             request,
             attempt_number,
@@ -142,7 +142,7 @@
             deadline,
             answer: None,
         };
-        let answer = record_attempt(&world, &clients, to, &id, asked, left).await;
+        let answer = record_attempt(&world, &clients, to, &id, attempt, left).await;
         let status = answer.status;
         let back = answer.retry_after;
         if !kind.is_idempotent && status == Some(200) {
@@ -174,7 +174,7 @@
 ) -> Option<u16> {
     let request = world.number();
     let id = format!("{request:08x}00");
-    let asked = ClientAttempt {
+    let attempt = ClientAttempt {
         at: world.now(),
         request,
         attempt_number: 0,
@@ -188,7 +188,7 @@
         deadline: world.now() + kind.deadline_ms,
         answer: None,
     };
-    record_attempt(world, clients, to, &id, asked, kind.deadline_ms)
+    record_attempt(world, clients, to, &id, attempt, kind.deadline_ms)
         .await
         .status
 }
@@ -220,7 +220,7 @@
     clients: &Rc<Clients>,
     to: SocketAddrV4,
     id: &str,
-    asked: &ClientAttempt,
+    attempt: &ClientAttempt,
     left: u64,
 ) -> ClientResponse {
     let end = Instant::now() + Duration::from_millis(left);
@@ -243,21 +243,21 @@
             _ => return none(false, false),
         },
     };
-    let length = if asked.is_idempotent {
+    let length = if attempt.is_idempotent {
         String::new()
     } else {
-        format!("Content-Length: {}\r\n", asked.body.len())
+        format!("Content-Length: {}\r\n", attempt.body.len())
     };
     let head = format!(
         "{} {} HTTP/1.1\r\nHost: range.example\r\nBeechcroft-Attempt-Id: {id}\r\nBeechcroft-Time-Budget: {left}\r\n{length}\r\n",
-        asked.method, asked.path
+        attempt.method, attempt.path
     );
     let mut bytes = head.into_bytes();
-    bytes.extend(&asked.body);
+    bytes.extend(&attempt.body);
     if line.write(&bytes).await.is_err() {
         return none(false, false);
     }
-    let Ok(read) = timeout_at(end, read_response(&mut line, asked.method)).await else {
+    let Ok(read) = timeout_at(end, read_response(&mut line, attempt.method)).await else {
         return none(true, true);
     };
     let Some((reply, body)) = read else {
--- a/crates/beechcroft-simulator/src/cluster/run/faults.rs
+++ b/crates/beechcroft-simulator/src/cluster/run/faults.rs
@@ -81,11 +81,16 @@
                 let (other, its) = self.config(1, false, false);
                 spawn_local(self.clone().replace(other, its, Aim::From(first + 1)));
             }
-            let day = self.clone();
+            let cluster_run = self.clone();
             let repeats = self.world.draw() < again;
             spawn_local(async move {
-                if day.clone().replace(sent, held, Aim::From(first)).await && repeats {
-                    day.resend_newest_config().await;
+                if cluster_run
+                    .clone()
+                    .replace(sent, held, Aim::From(first))
+                    .await
+                    && repeats
+                {
+                    cluster_run.resend_newest_config().await;
                 }
             });
             sleep(Duration::from_millis(every_ms)).await;
--- a/crates/beechcroft-simulator/src/cluster/run/manual.rs
+++ b/crates/beechcroft-simulator/src/cluster/run/manual.rs
@@ -11,13 +11,13 @@
 #[derive(Clone)]
 pub struct ManualRun(Rc<ClusterRun>);
 
-/// Starts machines and units, and runs them until `play` ends. No initial configuration is sent.
-pub fn run_manual<T, F>(scenario: &Scenario, simulate: impl FnOnce(ManualRun) -> F) -> T
+/// Starts machines and units, and runs them until `script` ends. No initial configuration is sent.
+pub fn run_manual<T, F>(scenario: &Scenario, script: impl FnOnce(ManualRun) -> F) -> T
 where
     F: std::future::Future<Output = T>,
 {
     run_simulation(scenario, |scenario| async move {
-        simulate(ManualRun(start_cluster(scenario))).await
+        script(ManualRun(start_cluster(scenario))).await
     })
 }
 
--- a/crates/beechcroft-simulator/src/cluster/run/membership_watch.rs
+++ b/crates/beechcroft-simulator/src/cluster/run/membership_watch.rs
@@ -19,7 +19,7 @@
                 .cloned()
                 .collect();
             for core in cores {
-                let (day, runtime) = (self.clone(), runtime.clone());
+                let (cluster_run, runtime) = (self.clone(), runtime.clone());
                 spawn_local(async move {
                     let to = SocketAddrV4::new(core.ip, INTERNAL_PORTS[0]);
                     let within = Duration::from_millis(400);
@@ -28,10 +28,10 @@
                         return;
                     };
                     let held = held(&String::from_utf8_lossy(&body));
-                    let mut seen = day.memberships.borrow_mut();
+                    let mut seen = cluster_run.memberships.borrow_mut();
                     let last = seen.iter().rev().find(|(_, name, _)| *name == core.name);
                     if last.is_none_or(|(_, _, last)| *last != held) {
-                        seen.push((day.now(), core.name.clone(), held));
+                        seen.push((cluster_run.now(), core.name.clone(), held));
                     }
                 });
             }
