--- a/crates/beechcroft-lab/src/comparisons.rs
+++ b/crates/beechcroft-lab/src/comparisons.rs
@@ -1,7 +1,7 @@
 //! `sweep`, `compare`, `report`: one scenario under several values of a key, two values on paired seeds, and what is
 //! kept of a run: tables and charts.
 
-use crate::cluster::{head, line, timed};
+use crate::cluster::{play_timed, print_header, print_row};
 use beechcroft_simulator::cluster::{play, Report, Scenario};
 use clap::Args;
 use rand::{RngExt, SeedableRng};
@@ -84,7 +84,7 @@
         if let Some(folder) = &self.out {
             let lines = [("99th percentile".to_owned(), points)];
             std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-            crate::chart::lines(
+            crate::chart::write_lines(
                 &folder.join("sweep.svg"),
                 &format!("By {key}"),
                 &key,
@@ -184,7 +184,7 @@
 }
 
 #[derive(Args)]
-pub struct Tell {
+pub struct WriteReport {
     #[arg(required = true)]
     files: Vec<PathBuf>,
     /// Folder for report.md and a chart for each scenario.
@@ -192,19 +192,19 @@
     out: PathBuf,
 }
 
-impl Tell {
+impl WriteReport {
     pub fn run(&self) -> Result<(), String> {
         let said = |e: std::io::Error| format!("{}: {e}", self.out.display());
         std::fs::create_dir_all(&self.out).map_err(said)?;
         let mut text = String::from(
             "| scenario | what goes wrong | requests | served | p50 ms | p99 ms | broken rules |\n| --- | --- | --- | --- | --- | --- | --- |\n",
         );
-        head();
+        print_header();
         let mut broken = 0;
         for file in &self.files {
-            let scenario = crate::cluster::read(file)?;
-            let (report, wall_s) = timed(&scenario);
-            line(&scenario, &report, wall_s);
+            let scenario = crate::cluster::read_scenario(file)?;
+            let (report, wall_s) = play_timed(&scenario);
+            print_row(&scenario, &report, wall_s);
             let verdict = &report.verdict;
             let rules: Vec<&str> = verdict
                 .violations
@@ -252,7 +252,7 @@
                 ("served".to_owned(), of(|both| both.1)),
             ];
             let chart = self.out.join(format!("{}.svg", scenario.name));
-            crate::chart::lines(&chart, &scenario.name, "seconds", "tries a second", &lines)?;
+            crate::chart::write_lines(&chart, &scenario.name, "seconds", "tries a second", &lines)?;
         }
         std::fs::write(self.out.join("report.md"), text).map_err(said)?;
         if broken > 0 {
--- a/crates/beechcroft-lab/src/hot_keys.rs
+++ b/crates/beechcroft-lab/src/hot_keys.rs
@@ -10,7 +10,7 @@
 const SHARES: [f64; 3] = [0.01, 0.1, 0.5];
 
 #[derive(Args)]
-pub struct Crowd {
+pub struct HotKeys {
     /// 9 proxies only; else 9 and 90.
     #[arg(long)]
     quick: bool,
@@ -25,7 +25,7 @@
     out: Option<std::path::PathBuf>,
 }
 
-impl Crowd {
+impl HotKeys {
     pub fn run(&self) -> Result<(), String> {
         if let Some(seeds) = self.seeds {
             return self.distributions(seeds);
@@ -185,7 +185,7 @@
             held(&after) - held(&before)
         );
         let drawn = match &self.out {
-            Some(folder) => crate::chart::lines(
+            Some(folder) => crate::chart::write_lines(
                 &folder.join("returned.svg"),
                 "Back at the usual places after a crowd",
                 "seconds after its end",
--- a/crates/beechcroft-lab/src/operator_calls.rs
+++ b/crates/beechcroft-lab/src/operator_calls.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Args)]
-pub struct Orders {
+pub struct OperatorCalls {
     /// Worlds for each row.
     #[arg(long, default_value_t = 40)]
     seeds: u64,
@@ -115,7 +115,7 @@
     times
 }
 
-impl Orders {
+impl OperatorCalls {
     pub fn run(&self) -> Result<(), String> {
         println!(
             "ms from the first sending to the answer; regions 20 ms apart, a sync 1 ms; {} worlds a row",
--- a/crates/beechcroft-lab/src/outliers.rs
+++ b/crates/beechcroft-lab/src/outliers.rs
@@ -8,7 +8,7 @@
 use rayon::prelude::*;
 
 #[derive(Args)]
-pub struct Sight {
+pub struct Outliers {
     /// 10 seeds and 9 proxies only; else 100, and 4 of 90 proxies as well.
     #[arg(long)]
     quick: bool,
@@ -37,7 +37,7 @@
     (at(0.5), at(0.99))
 }
 
-impl Sight {
+impl Outliers {
     pub fn run(&self) -> Result<(), String> {
         let (seeds, sizes): (u64, &[usize]) = if self.quick {
             (10, &[9])
--- a/crates/beechcroft-lab/src/plan.rs
+++ b/crates/beechcroft-lab/src/plan.rs
@@ -61,11 +61,11 @@
             .file
             .as_ref()
             .ok_or("a scenario, or --check, is needed")?;
-        let scenario = crate::cluster::read(file)?;
+        let scenario = crate::cluster::read_scenario(file)?;
         tell(&scenario);
         if let Some(change) = &self.change {
             println!("\nafter the change:");
-            tell(&crate::cluster::read(change)?);
+            tell(&crate::cluster::read_scenario(change)?);
         }
         Ok(())
     }
--- a/crates/beechcroft-lab/src/size.rs
+++ b/crates/beechcroft-lab/src/size.rs
@@ -127,7 +127,7 @@
             std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
             let lines = [("bytes a machine".to_owned(), bytes)];
             let title = "What an edge machine sends, by their number";
-            crate::chart::lines(
+            crate::chart::write_lines(
                 &folder.join("size.svg"),
                 title,
                 "edge machines",
@@ -136,7 +136,7 @@
             )?;
             let lines = [("99 of 100 changes".to_owned(), ways)];
             let title = "From an acknowledged change to the last edge machine";
-            crate::chart::lines(
+            crate::chart::write_lines(
                 &folder.join("change.svg"),
                 title,
                 "edge machines",
