--- a/crates/beechcroft-lab/src/cluster.rs
+++ b/crates/beechcroft-lab/src/cluster.rs
@@ -1,5 +1,6 @@
 //! The subcommands `run`, `search` and `shrink`: scenarios of the whole system, played in the deterministic simulator
-//! and judged by its checker. The functions that read, play and print a scenario are also used by `comparisons` and `plan`.
+//! and judged by its checker. The functions that read, play and print a scenario are also used by `comparisons` and
+//! `plan`.
 
 use beechcroft_simulator::cluster::generator::generate;
 use beechcroft_simulator::cluster::{play, Report, Scenario};
@@ -339,8 +340,8 @@
             ));
         };
         let before = smallest.event.len();
-        // Candidates in order: one event less, half of the lost datagrams, one sync fault less, no random loss. The first
-        // that still violates the rule is the start of the next round.
+        // Candidates in order: one event less, half of the lost datagrams, one sync fault less, no random loss. The
+        // first that still violates the rule is the start of the next round.
         loop {
             let candidates = |smallest: &Scenario| -> Vec<Scenario> {
                 let events = (0..smallest.event.len()).map(|at| {
--- a/crates/beechcroft-lab/src/connection_memory.rs
+++ b/crates/beechcroft-lab/src/connection_memory.rs
@@ -1,5 +1,5 @@
-//! The subcommand `ways`: ways to hold an idle connection on the server, side by side in this process, with the bytes that
-//! the allocator counts for each.
+//! The subcommand `ways`: ways to hold an idle connection on the server, side by side in this process, with the bytes
+//! that the allocator counts for each.
 
 use crate::probe::allocated_bytes;
 use beechcroft_connections::{Actions, CloseOutcome, CloseReason, ConnectionTable, Id};
@@ -17,7 +17,8 @@
 
 #[derive(Args)]
 pub struct ConnectionMemory {
-    /// Number of connections. Both ends are in this process; the experiments assume a limit of 20,000 descriptors for each process.
+    /// Number of connections. Both ends are in this process; the experiments assume a limit of 20,000 descriptors for
+    /// each process.
     #[arg(long, default_value_t = 4000)]
     connections: usize,
 }
@@ -98,7 +99,8 @@
             std::io::Result::Ok((hyper, readable))
         });
         let (hyper, readable) = measured.map_err(|error| format!("loopback: {error}"))?;
-        // A parked connection takes a slot in the table and an entry for its socket in user memory; the rest is in the kernel.
+        // A parked connection takes a slot in the table and an entry for its socket in user memory; the rest is in the
+        // kernel.
         let settings: NamedSettings = beechcroft_settings::read(include_str!("settings.json"))?;
         let operator = beechcroft_operator::ConnectionSettings {
             descriptors_part: 0.95,
--- a/crates/beechcroft-lab/src/fleet.rs
+++ b/crates/beechcroft-lab/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Endpoints and a discovery server for the `idle` experiment, in a process of their own. They answer quickly and without
-//! errors, since the experiment measures the relay.
+//! Endpoints and a discovery server for the `idle` experiment, in a process of their own. They answer quickly and
+//! without errors, since the experiment measures the relay.
 
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/beechcroft-lab/src/holder.rs
+++ b/crates/beechcroft-lab/src/holder.rs
@@ -1,6 +1,6 @@
-//! Client process of the `idle` experiment: holds connections to one relay, as browsers do. It opens them at a given rate,
-//! sends requests on many of them at once and accounts for every response. It reads one command a line from standard input
-//! and answers each with one line of JSON.
+//! Client process of the `idle` experiment: holds connections to one relay, as browsers do. It opens them at a given
+//! rate, sends requests on many of them at once and accounts for every response. It reads one command a line from
+//! standard input and answers each with one line of JSON.
 
 use std::io::{BufRead, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -15,8 +15,8 @@
 /// Executes commands until standard input ends:
 ///
 /// - `open N MS`: opens N connections, spread over MS milliseconds.
-/// - `ask N MS TXN`: sends one request on each of the first N connections, spread over MS milliseconds, and waits for the
-///   responses.
+/// - `ask N MS TXN`: sends one request on each of the first N connections, spread over MS milliseconds, and waits for
+///   the responses.
 /// - `closed`: counts the connections that the relay has closed.
 pub fn run(address: SocketAddr) -> Result<(), String> {
     let mut connections: Vec<TcpStream> = Vec::new();
@@ -85,8 +85,8 @@
     closed
 }
 
-/// Sends one request on each of the first `count` connections. Reports responses by status, where `0` is a connection that
-/// ended or timed out without one; `twice` counts connections with more than one response.
+/// Sends one request on each of the first `count` connections. Reports responses by status, where `0` is a connection
+/// that ended or timed out without one; `twice` counts connections with more than one response.
 fn send_requests(
     connections: &mut [TcpStream],
     count: usize,
--- a/crates/beechcroft-lab/src/main.rs
+++ b/crates/beechcroft-lab/src/main.rs
@@ -1,6 +1,6 @@
 //! Command-line tool for experiments: some run proxies as processes on loopback, others play the whole system in the
-//! simulator. Most print a table; some end with one JSON object and write charts to a folder. Timings and memory figures
-//! of the loopback experiments depend on the machine, so no test asserts on them.
+//! simulator. Most print a table; some end with one JSON object and write charts to a folder. Timings and memory
+//! figures of the loopback experiments depend on the machine, so no test asserts on them.
 
 mod chart;
 mod cluster;
@@ -61,8 +61,8 @@
   beechcroft-lab crowd --quick"
     )]
     HotKeys(hot_keys::HotKeys),
-    /// Outlier detection from what proxies of all regions observe: how soon an endpoint is ejected, how often wrongly, and
-    /// whether two proxies ever place writes for a key differently.
+    /// Outlier detection from what proxies of all regions observe: how soon an endpoint is ejected, how often wrongly,
+    /// and whether two proxies ever place writes for a key differently.
     #[command(
         name = "sight",
         after_help = "Examples:
@@ -83,7 +83,8 @@
     #[command(after_help = "Examples:
   beechcroft-lab shrink found/drawn-7.toml --out found/small.toml")]
     Shrink(cluster::Shrink),
-    /// Network traffic of each machine by the number of edge machines, and how long a change takes to reach the last one.
+    /// Network traffic of each machine by the number of edge machines, and how long a change takes to reach the last
+    /// one.
     #[command(after_help = "Examples:
   beechcroft-lab size --quick
   beechcroft-lab size --out docs/results/system")]
@@ -112,7 +113,8 @@
   beechcroft-lab plan examples/days/burst.toml
   beechcroft-lab plan --check 50")]
     Plan(plan::Plan),
-    /// Sends requests at a steady rate to a running edge machine on loopback; latency counts from the planned send time.
+    /// Sends requests at a steady rate to a running edge machine on loopback; latency counts from the planned send
+    /// time.
     #[command(after_help = "Examples:
   beechcroft-lab load 127.0.0.1:8548 --rate 500 --seconds 5")]
     #[command(name = "load")]
--- a/crates/beechcroft-lab/src/probe.rs
+++ b/crates/beechcroft-lab/src/probe.rs
@@ -26,8 +26,8 @@
     let status = file("status")?;
     let memory = field(&status, "RssAnon:").ok_or("RssAnon: not reported by this kernel")? * 1024;
     let stat = file("stat")?;
-    // utime and stime, fields 14 and 15, in ticks of 10 ms. Fields are counted from behind the process name, which is in
-    // parentheses and may contain spaces.
+    // utime and stime, fields 14 and 15, in ticks of 10 ms. Fields are counted from behind the process name, which is
+    // in parentheses and may contain spaces.
     let fields: Vec<&str> = stat
         .rsplit(')')
         .next()
--- a/crates/beechcroft-lab/src/relay_load.rs
+++ b/crates/beechcroft-lab/src/relay_load.rs
@@ -1,5 +1,5 @@
-//! Open-loop load on several relays, for the `idle` experiment. Latency is counted from when a request was due, so that a
-//! stall shows in every request that was due during it (no coordinated omission).
+//! Open-loop load on several relays, for the `idle` experiment. Latency is counted from when a request was due, so that
+//! a stall shows in every request that was due during it (no coordinated omission).
 
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
