--- a/crates/beechcroft-simulator/tests/known_red.rs
+++ b/crates/beechcroft-simulator/tests/known_red.rs
@@ -1,5 +1,5 @@
-//! Scenarios that break a rule for a fault that is known and not mended yet. `KNOWN-RED.txt` names each test of this file;
-//! a scenario moves to `examples/days` with the change that mends it.
+//! Scenarios that violate a rule because of a known defect that is not fixed yet. `KNOWN-RED.txt` lists each test of this
+//! file. The change that fixes a defect also moves its scenario to `examples/days`.
 
 use beechcroft_simulator::cluster::{simulate, Scenario};
 
