--- a/crates/beechcroft-simulator/tests/membership.rs
+++ b/crates/beechcroft-simulator/tests/membership.rs
@@ -5,7 +5,8 @@
 use beechcroft_safeguards::Safeguard;
 use beechcroft_simulator::cluster::{simulate, Report, Scenario};
 
-/// The `syncS` setting, in seconds: within it a lost membership has been recovered.
+/// The default of the `syncS` setting, in seconds: for this long a node still counts as lost after it is back, and its successor
+/// after its start.
 const SYNC_S: f64 = 4.0;
 /// Simulated time in milliseconds from the start of the machines to the start of traffic, a scenario's second 0.
 const TRAFFIC_START_MS: f64 = 8000.0;
