--- a/crates/beechcroft-control/src/disk.rs
+++ b/crates/beechcroft-control/src/disk.rs
@@ -41,7 +41,7 @@
         }
         if repair(|name| corruption.affects(name), table) {
             log::error!(
-                "disk: Records of the replica are corrupt, so the disk counts as lost: the node recovers from the other replicas before it votes."
+                "disk: This counts as a lost disk: the node recovers from the others before it votes."
             );
         }
     })
@@ -115,7 +115,7 @@
         }
         let written = store.write(&records);
         if let Err(e) = &written {
-            log::warn!("disk: Write failed: {e}.");
+            log::warn!("disk: Writing failed: {e}.");
         }
         for stored in waiting {
             let _ = stored.send(written.is_ok());
--- a/crates/beechcroft-control/src/state_owner/checkpoint.rs
+++ b/crates/beechcroft-control/src/state_owner/checkpoint.rs
@@ -32,7 +32,7 @@
         return T::default();
     };
     encoding::decode(bytes).unwrap_or_else(|e| {
-        log::error!("state: Ignoring the unreadable checkpoint {key}: {e}.");
+        log::error!("state: {key} on disk is left out: {e}.");
         T::default()
     })
 }
--- a/crates/beechcroft-control/src/state_owner/membership.rs
+++ b/crates/beechcroft-control/src/state_owner/membership.rs
@@ -408,7 +408,7 @@
             known.epochs.merge(epochs);
         }
         if self.acceptor.on_fence_response(epoch, response).is_some() {
-            log::info!("state: This node has recovered a replica and votes once it is stored.");
+            log::info!("state: The replica is recovered; this node votes again.");
             self.store_identity();
         }
     }
--- a/crates/beechcroft-proxy/src/state_owner.rs
+++ b/crates/beechcroft-proxy/src/state_owner.rs
@@ -319,9 +319,7 @@
         spawn_local(async move {
             match rpc.read_revisions(to, REVISIONS_TIMEOUT).await {
                 Ok(revisions) => drop(queue.send(Command::RevisionsConfirmed(revisions))),
-                Err(error) => {
-                    log::info!("state: A control node did not confirm the revisions: {error}.")
-                }
+                Err(error) => log::info!("state: No control node has confirmed: {error}."),
             }
         });
     }
--- a/crates/beechcroft-relay/src/wire/clients.rs
+++ b/crates/beechcroft-relay/src/wire/clients.rs
@@ -109,7 +109,7 @@
         if head.headers.contains_key(header::TRANSFER_ENCODING) {
             return Err(RequestError::new(
                 StatusCode::LENGTH_REQUIRED,
-                "Transfer-Encoding: not supported",
+                "Transfer-Encoding: not taken",
             ));
         }
         let lane = text(LANE).ok_or(bad("X-Lane: missing or malformed"))?;
@@ -307,7 +307,7 @@
     guard.id = None;
     // No answer: the relay's actor did not accept the task, as one with this id is open.
     answer.map_or_else(
-        |_| RequestError::new(StatusCode::CONFLICT, "X-Txn: a task with this id is open").encode(),
+        |_| RequestError::new(StatusCode::CONFLICT, "X-Txn: such a task is open").encode(),
         encode,
     )
 }
--- a/crates/beechcroft-storage/src/replay.rs
+++ b/crates/beechcroft-storage/src/replay.rs
@@ -75,7 +75,7 @@
         if synced > replay.last_number {
             let from = replay.last_number + 1;
             replay.add_lost_entries(format!(
-                "log: entries {from} to {synced} were synced but are missing"
+                "log: entries {from} to {synced} had been synced and are not there"
             ));
             replay.last_number = synced;
         }
@@ -91,7 +91,7 @@
     fn check_missing_files(&mut self, contents: &FolderContents, synced: u64) {
         if synced > 0 {
             self.add_lost_entries(format!(
-                "state: the snapshot is missing, but entry {synced} was synced"
+                "state: the snapshot is missing, entry {synced} had been synced"
             ));
         } else if contents.log_number > FIRST_NUMBER {
             let number = contents.log_number;
@@ -168,7 +168,7 @@
             self.last_number = synced;
         } else if !is_zeroed_from(log, at + OKAYWAL_BYTES) {
             log::info!(
-                "storage: The log ends with a torn write after byte {at}: entry {next} was never acknowledged."
+                "storage: The log ends torn behind byte {at}: entry {next} was never acknowledged."
             );
         }
     }
--- a/crates/beechcroft-transport/src/rpc.rs
+++ b/crates/beechcroft-transport/src/rpc.rs
@@ -240,7 +240,7 @@
         tokio::task::spawn_local(async move {
             match rpc.fetch_register(from, register, FETCH_TIMEOUT).await {
                 Ok(value) => on_fetched(value),
-                Err(error) => log::info!("rpc: Fetching a register failed: {error}."),
+                Err(error) => log::info!("rpc: A register was not fetched: {error}."),
             }
         });
     }
--- a/crates/beechcroft-transport/src/server.rs
+++ b/crates/beechcroft-transport/src/server.rs
@@ -266,9 +266,7 @@
     let malformed = |detail: &str| Error::new(ErrorKind::Malformed, detail);
     let first = first.ok_or_else(|| malformed("Content-Length is not a number"))?;
     if lengths.any(|other| other != Ok(first)) {
-        return Err(malformed(
-            "Content-Length is repeated with different values",
-        ));
+        return Err(malformed("several lengths that differ"));
     }
     Ok(Some(first))
 }
