--- a/crates/beechcroft-consensus/src/encoding.rs
+++ b/crates/beechcroft-consensus/src/encoding.rs
@@ -22,14 +22,14 @@
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            DecodeError::Empty => write!(f, "no data"),
+            DecodeError::Empty => write!(f, "it is empty"),
             DecodeError::Version(found) => {
                 write!(
                     f,
-                    "unsupported format {found}; this version of the program reads format {VERSION}"
+                    "it has format {found}, and this version of the program reads {VERSION}"
                 )
             }
-            DecodeError::Malformed(detail) => write!(f, "malformed: {detail}"),
+            DecodeError::Malformed(detail) => write!(f, "it is malformed: {detail}"),
         }
     }
 }
